--- a/internal/proxy/backends/backends.go
+++ b/internal/proxy/backends/backends.go
@@ -1,7 +1,9 @@
-// Package backends is what a node knows of services and their database servers: who leads,
-// who is healthy, whose connections lead to them, and the node's part in the change of a
-// primary. Decisions are made by pure packages (failover, quorum, routing, admission); this
-// one gathers what they need and carries out what they decide.
+// Package backends holds a node's runtime state of services and their database servers: which
+// server is the primary, which servers are healthy, which node owns the connections to them, and
+// the node's part in a change of the primary.
+//
+// The decisions are made by pure packages (failover, quorum, routing, admission). This package
+// gathers their input and carries out their effects.
 package backends
 
 import (
@@ -26,9 +28,9 @@
 	Promote(ctx context.Context, service, server, holder string, token uint64) failover.PromotionOutcome
 }
 
-// FailoverTrace records what a failover machine was told and what it decided.
+// FailoverTrace records the events and effects of a failover machine.
 type FailoverTrace interface {
-	// Step records one step, at a time since the node's start.
+	// Step records one step; at is the time since the node's start.
 	Step(at time.Duration, event failover.Event, effects []failover.Effect)
 }
 
@@ -36,43 +38,45 @@
 type Options struct {
 	Name string
 	Zone string
-	// Life is unique to the process.
+	// Life identifies the incarnation of this process.
 	Life    string
 	Regions map[string]string
-	// DrainBound is within how long a leaving server must receive no new work.
+	// DrainBound is the time within which a draining server must stop receiving new work.
 	DrainBound time.Duration
-	// EvacuationBound is within how long the servers of an evacuated zone must receive nothing.
+	// EvacuationBound is the time within which the servers of an evacuated zone must stop receiving
+	// any work.
 	EvacuationBound time.Duration
-	// ColdOverage and ColdSlack are by how much the requests to a cold server may pass its rate.
+	// ColdOverage (a factor) and ColdSlack (a number of requests) are by how much the requests to a
+	// cold server may exceed its rate.
 	ColdOverage float64
 	ColdSlack   float64
-	// Agreed makes nodes agree on tenures, since the platform checks no fences.
-	// MessageAddress is where messages of the agreement reach this node.
+	// Agreed makes the nodes agree on tenures. It is needed if the platform does not check fencing
+	// tokens. MessageAddress is where this node receives the messages of the agreement.
 	Agreed         bool
 	MessageAddress string
 	Kinds          network.Kinds
 	// FirstStart is set while the whole fleet starts for the first time.
 	FirstStart bool
-	// Capacity is what the node may use of its machine.
+	// Capacity is the part of the machine that the node may use.
 	Capacity network.Capacity
 }
 
-// Ports are the ways of Backends to the outside.
+// Ports are the external dependencies of Backends.
 type Ports struct {
 	network.Ports
 	Dialer   upstream.Dialer
 	Promoter Promoter
-	// Messages carries the messages of the agreement; nil if nodes do not agree.
+	// Messages sends the messages of the agreement; nil if the nodes do not agree on tenures.
 	Messages tenure.Sender
 	// Connect opens a connection to an address, for tunnels of other nodes.
 	Connect func(ctx context.Context, address string) (net.Conn, error)
-	// Trace, if not nil, begins the trace of a service's failover machine, whose
-	// takeovers are delayed by a rank.
+	// Trace, if not nil, starts the trace of a service's failover machine. rank is the delay of
+	// that machine's takeovers.
 	Trace func(service string, rank time.Duration) FailoverTrace
 }
 
-// Backends is what a node knows of the services and their servers, its connections to
-// them, and its part in the change of their primaries.
+// Backends holds the services and their servers, the connections to them, and this node's part in
+// changes of their primaries.
 type Backends struct {
 	*network.Network
 	options Options
@@ -81,52 +85,53 @@
 	catalog *catalog.Catalog
 	metrics *backendMetrics
 	started time.Time
-	// look is called at the beginning of each look at the services.
-	look func(now time.Time)
+	// beforePoll is called at the beginning of each poll of the services.
+	beforePoll func(now time.Time)
 
-	Servers  sync.Map // Server ID to *server
-	services sync.Map // Service name to *service
+	Servers  sync.Map // server ID to *Server
+	services sync.Map // service name to *Service
 
 	Stopping atomic.Bool
 	// Isolated is set while the node reaches too few voters to use any primary.
 	Isolated atomic.Bool
-	// Degraded is set while all that the node talks to is silent.
+	// Degraded is set while the node gets no answer from anything that it talks to.
 	Degraded atomic.Bool
-	// refreshingLeases is set while a listing of the leases is due.
+	// refreshingLeases is set while a listing of the leases is scheduled.
 	refreshingLeases atomic.Bool
-	// Informed is closed once the node knows a configuration and a directory.
+	// Informed is closed once the node has a configuration and a directory.
 	Informed     chan struct{}
 	informedOnce sync.Once
-	// links lead to nodes that own connections, owner serves this node's own.
+	// links lead to the nodes that own connections; Owner serves the connections of this node.
 	links *remote.Links
 	Owner *remote.Owner
-	// Tenures is nil where the platform checks fences.
+	// Tenures is nil if the platform checks fencing tokens.
 	Tenures *tenure.Keeper
-	// placed is made of the members and the directory, by the goroutine that holds placing.
-	placing sync.Mutex
-	placed  atomic.Pointer[placedAt]
-	// nudged makes the look at the services come at once.
-	nudged chan struct{}
-	// reports numbers what the node tells as an owner of servers' connections.
-	reports atomic.Uint64
+	// currentPlacements is computed from the members and the directory, under placementMutex.
+	placementMutex    sync.Mutex
+	currentPlacements atomic.Pointer[cachedPlacements]
+	// pollNow triggers a poll of the services at once.
+	pollNow chan struct{}
+	// reportSequence is the sequence number of the last load report that this node made as an
+	// owner.
+	reportSequence atomic.Uint64
 }
 
-// New returns backends without any server. look is called at the beginning of
-// each look at the services.
-func New(options Options, ports Ports, network *network.Network, look func(now time.Time)) *Backends {
-	n := &Backends{
+// New returns backends without any server. beforePoll is called at the beginning of each poll of
+// the services.
+func New(options Options, ports Ports, network *network.Network, beforePoll func(now time.Time)) *Backends {
+	b := &Backends{
 		Network: network, options: options, ports: ports, log: network.Log, catalog: network.Catalog,
-		metrics: newBackendMetrics(), started: network.Started, look: look,
-		Informed: make(chan struct{}), nudged: make(chan struct{}, 1),
+		metrics: newBackendMetrics(), started: network.Started, beforePoll: beforePoll,
+		Informed: make(chan struct{}), pollNow: make(chan struct{}, 1),
 	}
-	n.links = remote.NewLinks(remote.LinksConfig{Dial: n.dialOwner, OnProof: n.ownerProved, OnReport: n.OwnerReported})
-	n.Owner = remote.NewOwner(n)
-	n.Tenures = n.newTenures()
-	n.catalog.OnChange(n.catalogChanged)
-	return n
+	b.links = remote.NewLinks(remote.LinksConfig{Dial: b.dialOwner, OnProof: b.ownerProved, OnReport: b.OwnerReported})
+	b.Owner = remote.NewOwner(b)
+	b.Tenures = b.newTenures()
+	b.catalog.OnChange(b.catalogChanged)
+	return b
 }
 
-// Run looks at the services and takes part in the agreement until ctx ends.
+// Run polls the services and takes part in the agreement until ctx ends.
 func (b *Backends) Run(ctx context.Context) {
 	go b.watchServices(ctx)
 	if b.Tenures != nil {
--- a/internal/proxy/backends/health.go
+++ b/internal/proxy/backends/health.go
@@ -12,68 +12,68 @@
 	"dewknot/internal/proxy/upstream"
 )
 
-// Times of the look at the services.
+// Intervals and timeouts of the health checks.
 const (
-	// lookInterval is the pause between two looks.
-	lookInterval = 100 * time.Millisecond
-	// pauseLimit: a longer gap between looks means that the process stood still.
-	pauseLimit = 250 * time.Millisecond
-	// SilenceLimit is how long a server with work may be silent before it is asked.
+	// pollInterval is the pause between two polls of the services.
+	pollInterval = 100 * time.Millisecond
+	// maxPollGap is the longest gap between polls; after a longer one the process was suspended.
+	maxPollGap = 250 * time.Millisecond
+	// SilenceLimit is how long requests to a server may stay unanswered before it is pinged.
 	SilenceLimit = 250 * time.Millisecond
-	// idleLimit is how long a primary without work may be silent before the
-	// holder of the lease asks it.
-	idleLimit = time.Second
-	// pingLimit bounds the answer to a question that needs no slot.
-	pingLimit = 250 * time.Millisecond
-	// pingsToDown is how many questions in a row have to go unanswered. Other
-	// nodes are asked as well before the primary is replaced.
-	pingsToDown = 1
+	// idleTimeout is how long a primary without work may send nothing before the lease holder pings
+	// it.
+	idleTimeout = time.Second
+	// pingTimeout bounds a ping, which needs no slot of the server.
+	pingTimeout = 250 * time.Millisecond
+	// missedPingsToDown is how many pings in a row a server has to miss to count as down. Other
+	// nodes are asked too before the primary is replaced.
+	missedPingsToDown = 1
 	// trimInterval is the pause between closing idle connections.
 	trimInterval = time.Second
-	// seekLimit bounds one round of asking all servers who is the primary.
-	seekLimit = 300 * time.Millisecond
+	// findPrimaryTimeout bounds the wait for one server's answer in a search for the primary.
+	findPrimaryTimeout = 300 * time.Millisecond
 )
 
-// leaderHealth is the evidence against the primary. It is used by the looking
-// goroutine only, except for results that come through the channel.
-type leaderHealth struct {
-	leader string
-	missed int
-	asking bool
-	// reported is set once the log tells that the primary does not answer.
-	reported bool
-	results  chan standing
+// primaryHealth is the evidence against the primary. It is used only by the goroutine that polls
+// the services, except for the channel of results.
+type primaryHealth struct {
+	leader      string
+	missedPings int
+	pinging     bool
+	// loggedDown is set once the log says that the primary does not answer.
+	loggedDown bool
+	results    chan probeResult
 }
 
-// watchServices looks at all services at regular times.
+// watchServices polls the services at regular intervals.
 func (b *Backends) watchServices(ctx context.Context) {
-	ticker := time.NewTicker(lookInterval)
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
-	last, trimmed, told := time.Now(), time.Now(), time.Now()
+	lastPoll, lastTrim, lastTrafficLog := time.Now(), time.Now(), time.Now()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-		case <-b.nudged:
+		case <-b.pollNow:
 		}
 		now := time.Now()
-		b.look(now)
-		stoodStill := now.Sub(last) > pauseLimit
-		last = now
+		b.beforePoll(now)
+		suspended := now.Sub(lastPoll) > maxPollGap
+		lastPoll = now
 		b.services.Range(func(_, value any) bool {
-			if service := value.(*Service); service.attended(now) {
-				service.look(now, stoodStill)
-				service.lookAtRoom(now)
+			if service := value.(*Service); service.needsPolling(now) {
+				service.poll(now, suspended)
+				service.logHeadroomRegained(now)
 			}
 			return true
 		})
-		if b.TrafficDue(now.Sub(told)) {
-			told = now
+		if b.TrafficDue(now.Sub(lastTrafficLog)) {
+			lastTrafficLog = now
 			b.LogTraffic()
 		}
-		if now.Sub(trimmed) > trimInterval {
-			trimmed = now
+		if now.Sub(lastTrim) > trimInterval {
+			lastTrim = now
 			b.log.Flush()
 			b.trim(now)
 		}
@@ -87,29 +87,29 @@
 	})
 }
 
-// look gathers evidence and gives the failover machine an observation.
-func (s *Service) look(now time.Time, stoodStill bool) {
+// poll gathers evidence and passes an observation to the failover machine.
+func (s *Service) poll(now time.Time, suspended bool) {
 	leader := s.lastPrimary()
-	if leader != s.health.leader || stoodStill || s.health.results == nil {
-		s.health = leaderHealth{leader: leader, results: make(chan standing, 1)}
+	if leader != s.health.leader || suspended || s.health.results == nil {
+		s.health = primaryHealth{leader: leader, results: make(chan probeResult, 1)}
 	}
-	s.takePing()
+	s.collectPing()
 	target := s.backends.Server(leader)
-	down := target != nil && s.health.missed >= pingsToDown
+	down := target != nil && s.health.missedPings >= missedPingsToDown
 	s.reportHealth(down)
-	if target != nil && !s.health.asking && s.wantsPing(target, now) {
+	if target != nil && !s.health.pinging && s.needsPing(target, now) {
 		s.ping(target)
 	}
 	if s.backends.Tenures == nil && (target == nil || down) {
-		s.seek()
+		s.findPrimary()
 	}
 	s.outage.Note(now, target != nil && !down)
 	if s.backends.Tenures != nil {
 		view := s.backends.Tenures.View(s.Name)
-		s.leaseless.Note(now, view != nil && view.Covers(now))
+		s.leaseOutage.Note(now, view != nil && view.Covers(now))
 	}
 	observation := s.observe(leader, down)
-	if observation.Voiceless && s.holding() {
+	if observation.Voiceless && s.holdsLease() {
 		s.Warm(upstream.Own)
 	}
 	s.submit(failover.Observed{Observation: observation})
@@ -117,35 +117,37 @@
 
 // reportHealth logs when the primary stops or starts to answer this node.
 func (s *Service) reportHealth(down bool) {
-	if down == s.health.reported {
+	if down == s.health.loggedDown {
 		return
 	}
-	s.health.reported = down
+	s.health.loggedDown = down
 	event := eventlog.ServerReachable
 	if down {
 		event = eventlog.ServerUnreachable
 	}
-	s.backends.log.Write(event, zap.String("service", s.Name), zap.String("server", s.health.leader), zap.Int("missed", s.health.missed))
+	s.backends.log.Write(event, zap.String("service", s.Name), zap.String("server", s.health.leader),
+		zap.Int("missed", s.health.missedPings))
 }
 
-func (s *Service) takePing() {
+func (s *Service) collectPing() {
 	select {
-	case shown := <-s.health.results:
-		s.health.asking = false
-		switch shown {
-		case inconclusive:
-		case silent:
-			s.health.missed++
+	case result := <-s.health.results:
+		s.health.pinging = false
+		switch result {
+		case probeInconclusive:
+		case probeSilent:
+			s.health.missedPings++
 		default:
-			s.health.missed = 0
+			s.health.missedPings = 0
 		}
 	default:
 	}
 }
 
-// wantsPing reports whether the primary's silence calls for a question.
-func (s *Service) wantsPing(target *Server, now time.Time) bool {
-	if s.health.missed > 0 {
+// needsPing reports whether the primary has to be pinged, since it may be down or, at the lease
+// holder, has been idle for long.
+func (s *Service) needsPing(target *Server, now time.Time) bool {
+	if s.health.missedPings > 0 {
 		return true
 	}
 	idle := target.Stats.SinceSign(now)
@@ -155,20 +157,20 @@
 	if target.Stats.Unanswered(now) > SilenceLimit {
 		return true
 	}
-	return idle > idleLimit && s.holding()
+	return idle > idleTimeout && s.holdsLease()
 }
 
-func (s *Service) holding() bool {
+func (s *Service) holdsLease() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.machine.Holding()
 }
 
 func (s *Service) ping(target *Server) {
-	s.health.asking = true
+	s.health.pinging = true
 	results := s.health.results
 	go func() {
-		results <- s.prove(target, reserve, time.Now().Add(pingLimit))
+		results <- s.probe(target, acquireReserved, time.Now().Add(pingTimeout))
 	}()
 }
 
@@ -176,9 +178,9 @@
 	observation := failover.Observation{
 		Leader: leader, LeaderDown: down, SynchronousReplicas: s.synchronousReplicas(), Degraded: s.backends.Degraded.Load(),
 	}
-	// A primary whose entry vanished so long ago that it was forgotten is gone all the same.
+	// A primary whose entry is no longer in the directory counts as gone.
 	observation.LeaderGone = leader != ""
-	homes := s.routesHomes()
+	homes := s.routeHomes()
 	for _, entry := range s.backends.catalog.Current().ByService[s.Name] {
 		if entry.ID == leader {
 			observation.LeaderDraining = entry.Draining || entry.Evacuated()
@@ -198,9 +200,9 @@
 	return observation
 }
 
-// routesHomes returns the homes of the service's routes: a primary where all of them may send
-// their work serves all.
-func (s *Service) routesHomes() []catalog.Homes {
+// routeHomes returns the homes of the service's routes. A primary must be in a region that all of
+// them allow.
+func (s *Service) routeHomes() []catalog.Homes {
 	configuration := s.backends.catalog.Current().Configuration
 	if configuration == nil || !configuration.HasHomes {
 		return nil
@@ -221,21 +223,23 @@
 	return 0
 }
 
-// seek asks the servers, other than the one believed in, who is the primary.
-func (s *Service) seek() {
-	if !s.seeking.TryLock() {
+// findPrimary asks the servers other than the current primary whether they are the primary, until
+// one of them proves to be.
+func (s *Service) findPrimary() {
+	if !s.findingPrimary.TryLock() {
 		return
 	}
 	go func() {
-		defer s.seeking.Unlock()
+		defer s.findingPrimary.Unlock()
 		now := time.Now()
-		believed := s.Belief.Leader()
+		current := s.Belief.Leader()
 		for _, entry := range s.backends.catalog.Current().ByService[s.Name] {
 			target := s.backends.Server(entry.ID)
-			if entry.ID == believed || entry.Gone || target == nil || s.Belief.Refuted(entry.ID, now) || target.Stats.Avoided(now) {
+			if entry.ID == current || entry.Gone || target == nil || s.Belief.Refuted(entry.ID, now) ||
+				target.Stats.Avoided(now) {
 				continue
 			}
-			if s.prove(target, s.backends.lendOwn, time.Now().Add(seekLimit)) == leading {
+			if s.probe(target, s.backends.acquireShared, time.Now().Add(findPrimaryTimeout)) == probePrimary {
 				return
 			}
 		}
--- a/internal/proxy/backends/leases.go
+++ b/internal/proxy/backends/leases.go
@@ -18,15 +18,16 @@
 )
 
 const (
-	// silentStoreLimit bounds a call to the store while it does not answer the watches either.
-	silentStoreLimit = 400 * time.Millisecond
-	// briefStoreLimit bounds the note of an order: some round trips between regions.
-	briefStoreLimit = 150 * time.Millisecond
+	// silentStoreTimeout bounds a call to the store while the store does not answer watches either.
+	silentStoreTimeout = 400 * time.Millisecond
+	// briefStoreTimeout bounds a write that an urgent step waits for: some round trips between
+	// regions.
+	briefStoreTimeout = 150 * time.Millisecond
 )
 
-// ReadLeases learns, at the start, of leases that an earlier life of this node
-// holds. Leases that are missing are made once the members are known. A node of a fleet that
-// starts for the first time has had no earlier life.
+// ReadLeases reads, at the start, the leases that an earlier incarnation of this node may hold.
+// Missing leases are created later, once the members are known. A node of a fleet that starts for
+// the first time has no earlier incarnation.
 func (b *Backends) ReadLeases(ctx context.Context) {
 	if b.options.FirstStart {
 		return
@@ -34,35 +35,35 @@
 	for ctx.Err() == nil {
 		objects, ok := b.listLeases(ctx)
 		if !ok {
-			time.Sleep(leaseRetry)
+			time.Sleep(leaseRetryDelay)
 			continue
 		}
 		for b.catalog.Current().Configuration == nil && ctx.Err() == nil {
-			time.Sleep(configurationLook)
+			time.Sleep(configurationPollInterval)
 		}
-		b.leasesKnown(objects)
+		b.submitLeases(objects)
 		return
 	}
 }
 
-// leasesKnown tells the failover machines who holds the leases.
-func (b *Backends) leasesKnown(objects []objectstore.Object) {
+// submitLeases passes lease objects to the failover machines.
+func (b *Backends) submitLeases(objects []objectstore.Object) {
 	for _, object := range objects {
 		b.Service(object.Name).submit(b.decodeLease(object))
 	}
 }
 
-// leaseRefresh is about the pause between a change of the primary and a listing of the
-// leases, which tells who holds them now and who the deputies are.
-const leaseRefresh = 2 * time.Second
+// leaseRefreshDelay is about how long after a change of the primary the leases are listed, to learn
+// the present holders and deputies.
+const leaseRefreshDelay = 2 * time.Second
 
-// RefreshLeases lists the leases soon; the calls of many nodes are spread, and changes
-// in a row make one call.
+// RefreshLeases schedules a listing of the leases. The delay is random to spread the calls of many
+// nodes; changes in quick succession cause one call.
 func (b *Backends) RefreshLeases() {
 	if !b.refreshingLeases.CompareAndSwap(false, true) {
 		return
 	}
-	time.AfterFunc(leaseRefresh/2+rand.N(leaseRefresh), func() {
+	time.AfterFunc(leaseRefreshDelay/2+rand.N(leaseRefreshDelay), func() {
 		b.refreshingLeases.Store(false)
 		if b.Stopping.Load() {
 			return
@@ -71,63 +72,63 @@
 	})
 }
 
-// LookAtLeases learns who holds the leases and who the deputies are.
+// LookAtLeases reads the leases' holders and deputies if any lease has changed.
 func (b *Backends) LookAtLeases(ctx context.Context) {
 	objects, changed, err := b.ListChanged(ctx, b.options.Kinds.Leases, network.StoreCallLimit)
 	if err == nil && changed {
-		b.leasesKnown(objects)
+		b.submitLeases(objects)
 	}
 }
 
-// configurationLook is the pause between looks for the first configuration, which
-// comes with the node's first listings.
-const configurationLook = 50 * time.Millisecond
+// configurationPollInterval is the pause between checks for the first configuration, which comes
+// with the node's first listings.
+const configurationPollInterval = 50 * time.Millisecond
 
-// leaseRetry is the pause before leases are listed again.
-const leaseRetry = time.Second
+// leaseRetryDelay is the pause before a failed listing of the leases is repeated.
+const leaseRetryDelay = time.Second
 
 func (b *Backends) listLeases(ctx context.Context) ([]objectstore.Object, bool) {
 	objects, err := b.ListShared(ctx, b.options.Kinds.Leases, network.StoreCallLimit)
 	return objects, err == nil
 }
 
-// MakeLeases makes the missing leases of the services for which this node ranks
-// first among the members, so that holders are spread over the nodes and a fleet
-// that starts makes each lease about once. Views that differ cost a conflict.
+// MakeLeases creates the missing leases of the services for which this node ranks first among the
+// members. This spreads the holders over the nodes, and each lease is created about once when a
+// fleet starts. Nodes with different lists of members may both try; one of them gets a conflict.
 func (b *Backends) MakeLeases(ctx context.Context) bool {
 	configuration := b.catalog.Current().Configuration
 	if configuration == nil {
 		return false
 	}
-	own := b.rankedFirst(configuration)
-	if len(own) == 0 {
+	ranked := b.rankedFirst(configuration)
+	if len(ranked) == 0 {
 		return true
 	}
-	made, ok := b.madeLeases(ctx, own)
+	existing, ok := b.existingLeases(ctx, ranked)
 	if !ok {
 		return false
 	}
-	for _, name := range own {
-		if !made[name] {
+	for _, name := range ranked {
+		if !existing[name] {
 			b.Service(name).submit(b.missingLease())
 		}
 	}
 	return true
 }
 
-// askedSingly is up to how many leases are asked for one by one: in a fleet with as many
-// services as nodes each makes about one, and a listing of 1,000 is five calls.
-const askedSingly = 4
+// maxSingleReads is up to how many leases are read one by one instead of by a listing. In a fleet
+// with as many services as nodes, each node creates about one lease.
+const maxSingleReads = 4
 
-// madeLeases returns which of some services have a lease.
-func (b *Backends) madeLeases(ctx context.Context, services []string) (map[string]bool, bool) {
-	made := map[string]bool{}
-	if len(services) > askedSingly {
+// existingLeases returns which of some services have a lease.
+func (b *Backends) existingLeases(ctx context.Context, services []string) (map[string]bool, bool) {
+	existing := map[string]bool{}
+	if len(services) > maxSingleReads {
 		objects, ok := b.listLeases(ctx)
 		for _, object := range objects {
-			made[object.Name] = true
+			existing[object.Name] = true
 		}
-		return made, ok
+		return existing, ok
 	}
 	limited, cancel := context.WithTimeout(ctx, network.StoreCallLimit)
 	defer cancel()
@@ -136,9 +137,9 @@
 		if err != nil && objectstore.OutcomeOf(err) != objectstore.NotFound {
 			return nil, false
 		}
-		made[name] = err == nil
+		existing[name] = err == nil
 	}
-	return made, true
+	return existing, true
 }
 
 // rankedFirst returns the services for which this node ranks first among the members.
@@ -156,14 +157,15 @@
 	return first
 }
 
-// missingLease tells that there is no lease object in the store's present era.
+// missingLease returns the event that the store's current era has no lease object.
 func (b *Backends) missingLease() failover.LeaseKnown {
-	present, err := era.New(b.StoreEra(), 0)
+	current, err := era.New(b.StoreEra(), 0)
 	if err != nil {
-		// The store's answers are refused then, so that none names this era.
-		present = 0
+		// The era is out of range; all answers of the store are rejected then, so none names this
+		// era.
+		current = 0
 	}
-	return failover.LeaseKnown{Missing: true, Revision: present}
+	return failover.LeaseKnown{Missing: true, Revision: current}
 }
 
 func (b *Backends) decodeLease(object objectstore.Object) failover.LeaseKnown {
@@ -176,32 +178,33 @@
 	return event
 }
 
-// deputies returns the nodes that may act for this one while the store is silent: the
-// first of other zones, since a zone may be lost as a whole, then any.
+// deputies returns the nodes that may act for this one while the store is unreachable. Nodes of
+// other zones come first, since a zone may fail as a whole.
 func (b *Backends) deputies(service string) []string {
-	known := b.Members.Load()
-	if known == nil {
+	members := b.Members.Load()
+	if members == nil {
 		return nil
 	}
-	var elsewhere, near []placement.Candidate
-	for _, member := range *known {
+	var otherZones, sameZone []placement.Candidate
+	for _, member := range *members {
 		candidate := placement.Candidate{ID: member.Name}
 		if member.Zone == b.options.Zone {
-			near = append(near, candidate)
+			sameZone = append(sameZone, candidate)
 		} else {
-			elsewhere = append(elsewhere, candidate)
+			otherZones = append(otherZones, candidate)
 		}
 	}
-	ranked := append(placement.Rank(service, "", elsewhere, failover.MaxDeputies), placement.Rank(service, "", near, failover.MaxDeputies)...)
+	ranked := append(placement.Rank(service, "", otherZones, failover.MaxDeputies),
+		placement.Rank(service, "", sameZone, failover.MaxDeputies)...)
 	return ranked[:min(len(ranked), failover.MaxDeputies)]
 }
 
 func (s *Service) readLease() {
-	limit := network.StoreCallLimit
+	timeout := network.StoreCallLimit
 	if s.backends.StoreLost() {
-		limit = silentStoreLimit
+		timeout = silentStoreTimeout
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	object, err := s.backends.ports.Store.Get(ctx, s.backends.options.Kinds.Leases, s.Name)
 	switch {
@@ -222,13 +225,12 @@
 	})
 }
 
-// reclaimSpread is the span over which the holders of leases ask for them again after the
-// store has come back from an older copy: in a fleet with 1,000 services some 330 calls a
-// second, a tenth of what its store takes, and each again to write. A primary that fails
-// meanwhile is replaced as by a node that has no lease, 0.4 s later.
+// reclaimSpread is the duration over which lease holders read their leases again after the store
+// was restored from an older copy. It bounds the load on the store. A primary that fails meanwhile
+// is replaced by a node without a lease, which takes longer.
 const reclaimSpread = 3 * time.Second
 
-// reclaimLease asks for the lease object soon.
+// reclaimLease reads the lease object again after a random delay.
 func (s *Service) reclaimLease() {
 	time.AfterFunc(rand.N(reclaimSpread), func() {
 		if !s.backends.Stopping.Load() && s.watching() {
@@ -237,8 +239,8 @@
 	})
 }
 
-// watching reports whether the failover machine waits for nothing. Else it asks for the lease
-// itself, if it needs it.
+// watching reports whether the failover machine is in the phase Watching. In other phases it reads
+// the lease itself if it needs it.
 func (s *Service) watching() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -252,11 +254,11 @@
 		s.submit(failover.LeaseWritten{Result: failover.Uncertain})
 		return
 	}
-	limit := network.StoreCallLimit
+	timeout := network.StoreCallLimit
 	if effect.Brief {
-		limit = briefStoreLimit
+		timeout = briefStoreTimeout
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	kind := s.backends.options.Kinds.Leases
 	var object objectstore.Object
--- a/internal/proxy/backends/metrics.go
+++ b/internal/proxy/backends/metrics.go
@@ -8,37 +8,39 @@
 	"dewknot/internal/proxy/network"
 )
 
-// DurationBuckets are seconds; latency objectives lie between them.
+// DurationBuckets are the buckets of duration histograms, in seconds.
 var DurationBuckets = []float64{0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.6, 0.8, 1, 2, 4}
 
 // backendMetrics are the counters and histograms of the services.
 type backendMetrics struct {
 	failovers *prometheus.CounterVec
-	// room counts what became of work for want of room.
-	room *prometheus.CounterVec
-	// rounds are the times of questions to the voters, unproved the answers that came
-	// without a lease and were not confirmed.
-	rounds   *prometheus.HistogramVec
-	unproved prometheus.Counter
-	// ownerMoves are the changes of owners as this node sees them.
+	// headroom counts the work that was rejected or sent elsewhere for lack of headroom.
+	headroom *prometheus.CounterVec
+	// rounds are the durations of requests to the voters. unconfirmed counts the answers of
+	// primaries that arrived without a valid lease and were not confirmed.
+	rounds      *prometheus.HistogramVec
+	unconfirmed prometheus.Counter
+	// ownerMoves counts the changes of owners that this node sees.
 	ownerMoves prometheus.Counter
-	// rebirths are the servers that have started again under their ID.
-	rebirths prometheus.Counter
+	// restarts counts the servers that have restarted under the same ID.
+	restarts prometheus.Counter
 }
 
 func newBackendMetrics() *backendMetrics {
 	return &backendMetrics{
 		failovers: prometheus.NewCounterVec(prometheus.CounterOpts{
-			Namespace: network.MetricsNamespace, Name: "failover_phases_total", Help: "Phases entered by the failover machines.",
+			Namespace: network.MetricsNamespace, Name: "failover_phases_total",
+			Help: "Phases entered by the failover machines.",
 		}, []string{"service", "phase"}),
-		room: prometheus.NewCounterVec(prometheus.CounterOpts{
-			Namespace: network.MetricsNamespace, Name: "room_decisions_total", Help: "Work that was refused, or sent elsewhere, for want of room on a server.",
+		headroom: prometheus.NewCounterVec(prometheus.CounterOpts{
+			Namespace: network.MetricsNamespace, Name: "room_decisions_total",
+			Help: "Work that was refused, or sent elsewhere, for want of room on a server.",
 		}, []string{"service", "level", "decision"}),
 		rounds: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Namespace: network.MetricsNamespace, Name: "tenure_round_seconds", Buckets: DurationBuckets,
 			Help: "Time of a candidate's question to the voters, by step.",
 		}, []string{"step", "outcome"}),
-		unproved: prometheus.NewCounter(prometheus.CounterOpts{
+		unconfirmed: prometheus.NewCounter(prometheus.CounterOpts{
 			Namespace: network.MetricsNamespace, Name: "answers_unproved_total",
 			Help: "Answers of a primary that were not believed, since its tenure may have ended.",
 		}),
@@ -46,20 +48,22 @@
 			Namespace: network.MetricsNamespace, Name: "owner_moves_total",
 			Help: "Servers whose connections another node owns than before, as this node sees it.",
 		}),
-		rebirths: prometheus.NewCounter(prometheus.CounterOpts{
-			Namespace: network.MetricsNamespace, Name: "servers_reborn_total", Help: "Servers that have started again under their ID.",
+		restarts: prometheus.NewCounter(prometheus.CounterOpts{
+			Namespace: network.MetricsNamespace, Name: "servers_reborn_total",
+			Help: "Servers that have started again under their ID.",
 		}),
 	}
 }
 
-// Collectors returns what tells of the services and their servers.
+// Collectors returns the metrics of the services and their servers.
 func (b *Backends) Collectors() []prometheus.Collector {
 	m := b.metrics
 	collectors := []prometheus.Collector{
-		m.failovers, m.room, m.rounds, m.unproved, m.ownerMoves, m.rebirths, newServerCollector(b),
+		m.failovers, m.headroom, m.rounds, m.unconfirmed, m.ownerMoves, m.restarts, newServerCollector(b),
 		prometheus.NewGaugeFunc(prometheus.GaugeOpts{
-			Namespace: network.MetricsNamespace, Name: "owned_servers", Help: "Servers whose connections are assigned to this node; none are while a zone has too many to bound them.",
-		}, b.owned),
+			Namespace: network.MetricsNamespace, Name: "owned_servers",
+			Help: "Servers whose connections are assigned to this node; none are while a zone has too many to bound them.",
+		}, b.ownedServers),
 	}
 	if b.Tenures != nil {
 		collectors = append(collectors, b.Tenures.Metrics())
@@ -67,8 +71,8 @@
 	return append(collectors, b.Network.Collectors()...)
 }
 
-// serverCollector tells what this node has in use of each server. The servers come
-// and go, so they are counted when the metrics are asked for.
+// serverCollector reports this node's use of each server. Servers come and go, so the values are
+// computed at each scrape.
 type serverCollector struct {
 	backends    *Backends
 	connections *prometheus.Desc
@@ -80,12 +84,13 @@
 	proofAge    *prometheus.Desc
 }
 
-func newServerCollector(node *Backends) *serverCollector {
+func newServerCollector(b *Backends) *serverCollector {
 	desc := func(name, help string) *prometheus.Desc {
-		return prometheus.NewDesc(prometheus.BuildFQName(network.MetricsNamespace, "server", name), help, []string{"service", "server"}, nil)
+		return prometheus.NewDesc(prometheus.BuildFQName(network.MetricsNamespace, "server", name), help,
+			[]string{"service", "server"}, nil)
 	}
 	return &serverCollector{
-		backends:    node,
+		backends:    b,
 		connections: desc("connections", "Connections of this node open to the server."),
 		running:     desc("statements_running", "Statements that this node has running on the server."),
 		waiting:     desc("statements_waiting", "Statements that wait at this node for the server."),
--- a/internal/proxy/backends/owners.go
+++ b/internal/proxy/backends/owners.go
@@ -18,41 +18,41 @@
 )
 
 const (
-	// directShare is the fewest connections to a server for which a node keeps
-	// its own: one for a statement, one for a transaction, one to spare. With a
-	// smaller share, one node owns the connections and the others go through it.
-	directShare = 3
-	// ownersRanked is how many nodes may stand in for a server's first owner.
-	ownersRanked = 4
-	// shunSpan is how long another owner is tried after one said that it does
-	// not reach the server.
-	shunSpan = time.Second
+	// minOwnConnections is the smallest share of a server's connections with which a node opens its
+	// own: one for a statement, one for a transaction and one spare. With a smaller share, one node
+	// owns the connections and the others go through it.
+	minOwnConnections = 3
+	// maxRankedOwners is how many owners of a server a node tries at most.
+	maxRankedOwners = 4
+	// skipOwnerDuration is how long the first owner is skipped after it reported that it does not
+	// reach the server.
+	skipOwnerDuration = time.Second
 	// ConnectionWait bounds the wait for a connection to one of several servers.
 	ConnectionWait = 150 * time.Millisecond
-	// proofAge is the age from which an owner refreshes what it knows of the
-	// primary, since others depend on it.
-	proofAge = 300 * time.Millisecond
+	// maxProofAge is the age above which an owner refreshes its proof of the primary's position,
+	// since other nodes depend on it.
+	maxProofAge = 300 * time.Millisecond
 )
 
-// ranking is the order of a server's owners, made of placements.
+// ranking is the order of a server's owners, computed from placements.
 type ranking struct {
 	placed *placements
-	// homes is set if it was made while work may be bound to regions.
-	homes bool
-	// first names the node that owns the server's connections.
-	first string
-	// before are the addresses of the nodes that come before this one, best first.
-	before []string
+	// hasHomes is set if the configuration bound work to regions when the ranking was made.
+	hasHomes bool
+	// owner is the name of the node that owns the server's connections.
+	owner string
+	// preceding holds the addresses of the nodes that rank before this one, best first.
+	preceding []string
 }
 
-// shunned is an owner that does not reach a server.
-type shunned struct {
+// skippedOwner is an owner that does not reach a server.
+type skippedOwner struct {
 	address string
 	until   time.Time
 }
 
-// Lend lends a principal's connection to a server for callers' work: one of this node's
-// own, or one of the server's owner.
+// Lend returns a connection to a server for callers' work in the name of a principal. It is a
+// connection of this node, or one of the server's owner.
 func (b *Backends) Lend(target *Server, principal upstream.Principal, deadline time.Time) (*upstream.Lease, error) {
 	if !b.AwaitMembers(deadline) {
 		return nil, upstream.ErrNoConnection
@@ -61,132 +61,132 @@
 	if len(owners) == 0 {
 		return target.Pool.Get(principal, deadline)
 	}
-	link, address := b.links.Pick(target.notShunned(owners, time.Now()), deadline)
-	if link == nil && len(owners) >= cold.Senders && b.bounded(target, time.Now()) {
+	link, address := b.links.Pick(target.withoutSkipped(owners, time.Now()), deadline)
+	if link == nil && len(owners) >= cold.Senders && b.coldLimited(target, time.Now()) {
 		return nil, upstream.ErrNoConnection
 	}
 	if link == nil {
 		return target.Pool.Get(principal, deadline)
 	}
-	return upstream.NewRemoteLease(link.Session(target.ID, principal), target.Stats, func() { target.shun(address, len(owners)) }), nil
+	return upstream.NewRemoteLease(link.Session(target.ID, principal), target.Stats,
+		func() { target.skipOwner(address, len(owners)) }), nil
 }
 
-// OwnersBefore returns the nodes that this one goes through to a server, best
-// first; none if it has connections of its own.
+// OwnersBefore returns the nodes through which this node reaches a server, best first. It returns
+// none if this node opens its own connections.
 func (b *Backends) OwnersBefore(target *Server) []string {
 	members := b.Members.Load()
 	if members == nil || b.ports.Peers == nil {
 		return nil
 	}
-	// To a cold server all go through its owner, who counts what it may be sent.
-	if b.sharesConnections(target.service, len(*members)+1) && !b.bounded(target, time.Now()) {
+	// All nodes reach a cold server through its owner, which limits the requests to it.
+	if b.enoughConnections(target.service, len(*members)+1) && !b.coldLimited(target, time.Now()) {
 		return nil
 	}
 	placed := b.placements(members)
 	ranked := target.owners.Load()
-	if ranked == nil || ranked.placed != placed || ranked.homes != b.bindsHomes() {
+	if ranked == nil || ranked.placed != placed || ranked.hasHomes != b.homesConfigured() {
 		previous := ranked
 		ranked = b.rankOwners(target.ID, placed)
 		target.owners.Store(ranked)
-		if previous != nil && previous.first != ranked.first {
+		if previous != nil && previous.owner != ranked.owner {
 			b.metrics.ownerMoves.Inc()
 			b.log.Write(eventlog.OwnerMoved, zap.String("service", target.service), zap.String("server", target.ID),
-				zap.String("from", previous.first), zap.String("to", ranked.first))
+				zap.String("from", previous.owner), zap.String("to", ranked.owner))
 		}
 	}
-	return ranked.before
+	return ranked.preceding
 }
 
-// sharesConnections reports whether a service's connections suffice for all nodes.
-func (b *Backends) sharesConnections(service string, nodes int) bool {
-	return b.connectionCeiling(service) >= directShare*nodes
+// enoughConnections reports whether a service allows enough connections for all nodes to open their
+// own.
+func (b *Backends) enoughConnections(service string, nodes int) bool {
+	return b.connectionCeiling(service) >= minOwnConnections*nodes
 }
 
-// rankOwners ranks nodes in the server's zone first, then those in its region: whoever owns
-// the connections, the way to the server is hardly longer. The one that was assigned the
-// server comes first.
+// rankOwners ranks the assigned owner first, then the other nodes by their distance from the
+// server. A path through a node near the server is hardly longer than the direct one.
 func (b *Backends) rankOwners(id string, placed *placements) *ranking {
-	ranked := &ranking{placed: placed, homes: b.bindsHomes(), first: placed.owners[id]}
-	if ranked.homes && !b.inRegionOf(id, ranked.first, placed) {
-		ranked.first = ""
+	ranked := &ranking{placed: placed, hasHomes: b.homesConfigured(), owner: placed.owners[id]}
+	if ranked.hasHomes && !b.inRegionOf(id, ranked.owner, placed) {
+		ranked.owner = ""
 	}
 	var names []string
-	if ranked.first != "" {
-		names = append(names, ranked.first)
+	if ranked.owner != "" {
+		names = append(names, ranked.owner)
 	}
-	tiers := b.tiersOf(id, placed)
-	if b.bindsHomes() {
-		// Where work has homes, it passes only through nodes of the server's own region.
-		tiers = tiers[:zoneTiers-1]
+	tiers := b.tiersForServer(id, placed)
+	if b.homesConfigured() {
+		// Work with homes may pass only through nodes of the server's region.
+		tiers = tiers[:distanceTiers-1]
 	}
 	for _, tier := range tiers {
-		for _, name := range placement.Rank(id, "", tier, ownersRanked) {
-			if name != ranked.first {
+		for _, name := range placement.Rank(id, "", tier, maxRankedOwners) {
+			if name != ranked.owner {
 				names = append(names, name)
 			}
 		}
 	}
-	if ranked.first == "" && len(names) > 0 {
-		ranked.first = names[0]
+	if ranked.owner == "" && len(names) > 0 {
+		ranked.owner = names[0]
 	}
 	for _, name := range names {
-		if name == b.options.Name || len(ranked.before) >= ownersRanked {
+		if name == b.options.Name || len(ranked.preceding) >= maxRankedOwners {
 			break
 		}
-		ranked.before = append(ranked.before, placed.addresses[name])
+		ranked.preceding = append(ranked.preceding, placed.addresses[name])
 	}
 	return ranked
 }
 
-// bindsHomes reports whether work may be bound to regions.
-func (b *Backends) bindsHomes() bool {
+// homesConfigured reports whether the configuration binds work to regions.
+func (b *Backends) homesConfigured() bool {
 	configuration := b.catalog.Current().Configuration
 	return configuration != nil && configuration.HasHomes
 }
 
-// tiersOf returns the nodes by their distance from a server, the nearest first.
-func (b *Backends) tiersOf(id string, placed *placements) [][]placement.Candidate {
-	zone, known := placed.zones[id]
-	if !known {
+// tiersForServer returns the nodes grouped by distance from a server, the nearest first.
+func (b *Backends) tiersForServer(id string, placed *placements) [][]placement.Candidate {
+	zone, found := placed.zones[id]
+	if !found {
 		if entry := b.catalog.Current().Servers[id]; entry != nil {
 			zone = entry.Zone
 		}
 	}
-	if tiers, made := placed.tiers[zone]; made {
+	if tiers, ok := placed.tiers[zone]; ok {
 		return tiers
 	}
-	return b.tiersFrom(zone, placed.members)
+	return b.tiersForZone(zone, placed.members)
 }
 
-// notShunned leaves out an owner that does not reach the server, if there is
-// another.
-func (t *Server) notShunned(owners []string, now time.Time) []string {
-	avoided := t.shunned.Load()
-	if avoided == nil || now.After(avoided.until) || len(owners) < 2 || owners[0] != avoided.address {
+// withoutSkipped removes a skipped owner from owners if there is another one.
+func (t *Server) withoutSkipped(owners []string, now time.Time) []string {
+	skipped := t.skippedOwner.Load()
+	if skipped == nil || now.After(skipped.until) || len(owners) < 2 || owners[0] != skipped.address {
 		return owners
 	}
 	return owners[1:]
 }
 
-// shun turns to the next owner for a while. Only the first is ever left out: if
-// the next one does not reach the server either, the server is down.
-func (t *Server) shun(address string, owners int) {
+// skipOwner makes requests go to the next owner for a while. Only the first owner is ever skipped:
+// if the next one does not reach the server either, the server counts as down and is avoided.
+func (t *Server) skipOwner(address string, ownerCount int) {
 	now := time.Now()
-	avoided := t.shunned.Load()
-	if owners < 2 || (avoided != nil && now.Before(avoided.until)) {
-		t.Stats.Avoid(now.Add(unreachedPause))
+	skipped := t.skippedOwner.Load()
+	if ownerCount < 2 || (skipped != nil && now.Before(skipped.until)) {
+		t.Stats.Avoid(now.Add(unreachableDuration))
 		return
 	}
-	t.shunned.Store(&shunned{address: address, until: now.Add(shunSpan)})
+	t.skippedOwner.Store(&skippedOwner{address: address, until: now.Add(skipOwnerDuration)})
 }
 
-// unreachedPause is how long a server is avoided that its owners do not reach.
-const unreachedPause = 100 * time.Millisecond
+// unreachableDuration is how long a server is avoided that its owners do not reach.
+const unreachableDuration = 100 * time.Millisecond
 
-// ownerProved takes what an owner tells of a primary.
-func (b *Backends) ownerProved(id string, at time.Time, covers position.Position) {
+// ownerProved records a position of the primary that an owner has proved.
+func (b *Backends) ownerProved(id string, at time.Time, proved position.Position) {
 	if target := b.Server(id); target != nil {
-		b.Service(target.service).Proofs.Add(freshness.Proof{At: at, Position: covers})
+		b.Service(target.service).Proofs.Add(freshness.Proof{At: at, Position: proved})
 	}
 }
 
@@ -213,14 +213,14 @@
 	return owned
 }
 
-// ownedServer is a server as other nodes reach it through this one.
+// ownedServer gives other nodes access to a server through this node.
 type ownedServer struct {
 	*Server
 	service *Service
 }
 
-// Lend implements remote.Server. The connection is always this node's own, so that
-// operations never pass through two owners.
+// Lend implements remote.Server. The connection is always one of this node, so that operations
+// never pass through two owners.
 func (o *ownedServer) Lend(principal upstream.Principal, deadline time.Time) (*upstream.Lease, error) {
 	if !o.service.Usable(o.ID, time.Now()) {
 		return nil, &upstream.RefusedError{Outcome: upstream.Unreached, Detail: "the server leaves"}
@@ -229,11 +229,11 @@
 }
 
 // Behind implements remote.Server.
-func (o *ownedServer) Behind(floor position.Position) (position.Position, bool) {
-	if floor.IsZero() {
+func (o *ownedServer) Behind(minPosition position.Position) (position.Position, bool) {
+	if minPosition.IsZero() {
 		return position.Position{}, false
 	}
-	return o.Stats.Behind(floor, time.Now())
+	return o.Stats.Behind(minPosition, time.Now())
 }
 
 // Silent implements remote.Server.
@@ -243,11 +243,11 @@
 }
 
 // Enter implements remote.Server.
-func (o *ownedServer) Enter(place admission.Request, deadline time.Time) bool {
-	if place.Class != admission.Continuation && admission.Overfull(o.Gate.Wait(place), time.Until(deadline)) {
+func (o *ownedServer) Enter(request admission.Request, deadline time.Time) bool {
+	if request.Class != admission.Continuation && admission.Overfull(o.Gate.Wait(request), time.Until(deadline)) {
 		return false
 	}
-	return o.service.backends.Admit(o.Server, place, deadline)
+	return o.service.backends.Admit(o.Server, request, deadline)
 }
 
 // Leave implements remote.Server.
@@ -259,13 +259,13 @@
 func (o *ownedServer) Proof() (time.Time, position.Position) {
 	newest := o.service.Proofs.Newest()
 	now := time.Now()
-	if now.Sub(newest.At) > proofAge {
+	if now.Sub(newest.At) > maxProofAge {
 		go o.service.RefreshProof(now.Add(ProofLimit))
 	}
 	return newest.At, newest.Position
 }
 
-// EndOf tells a gate how admitted work ended.
+// EndOf returns the result of admitted work for its gate.
 func EndOf(batch *upstream.Batch, result *upstream.Result) admission.Result {
 	switch {
 	case batch.Err != nil || result == nil:
--- a/internal/proxy/backends/placements.go
+++ b/internal/proxy/backends/placements.go
@@ -11,85 +11,84 @@
 	"dewknot/internal/proxy/network"
 )
 
-// placements says which node owns the connections of which server, as it follows from a list
-// of members and a directory. It is immutable.
+// placements assigns the connections of servers to nodes that own them, computed from the members
+// and the directory. It is immutable.
 type placements struct {
 	members []network.Member
-	// zones holds the zone of each server whose connections are owned.
+	// zones holds the zone of each server whose connections have an owner.
 	zones map[string]string
-	// addresses holds the nodes' by name, regions theirs.
+	// addresses and regions hold the nodes' addresses and regions by name.
 	addresses map[string]string
 	regions   map[string]string
-	// tiers are the nodes by their distance from each zone of servers, the nearest first.
+	// tiers holds, for each zone of servers, the nodes grouped by distance, the nearest first.
 	tiers map[string][][]placement.Candidate
 	// owners holds the name of each server's owner.
 	owners map[string]string
 }
 
-// placedAt are placements with the list of members and the directory for which they hold.
-type placedAt struct {
+// cachedPlacements are placements with the members and the directory from which they were computed.
+type cachedPlacements struct {
 	*placements
 	members  *[]network.Member
 	snapshot *catalog.Snapshot
 	at       time.Time
 }
 
-// placementsPause is how long placements stand at least while only the directory changes: at
-// the start of a large fleet its servers enter one by one, and placing 1,800 of them among 300
-// nodes anew for each took half of each node's processor. A server that has no place yet is
-// ranked by itself.
-const placementsPause = 2 * time.Second
+// minPlacementsAge is the minimum time between computations while only the directory changes. When
+// a large fleet starts, its servers are added one by one, and a computation for each would be
+// expensive. A server without a placement is ranked on its own.
+const minPlacementsAge = 2 * time.Second
 
-// mostPairs bounds the pairs of a server and a node of its zone among which owners are
-// assigned within a bound: 5,000 take 1 ms. With more, servers go to the node that ranks
-// first for each: chance makes that the more even the more there are, and to assign 300
-// servers among 49 nodes in each of six zones took a small node's processor at the start.
-const mostPairs = 5000
+// maxAssignedPairs bounds the cost of assigning servers to the nodes of their zone evenly, in pairs
+// of a server and a node. Above it each server goes to the node that ranks first for it, which is
+// even enough for many servers.
+const maxAssignedPairs = 5000
 
-// fresh reports whether placements stand for a list of members and a directory.
-func (p *placedAt) fresh(members *[]network.Member, snapshot *catalog.Snapshot) bool {
-	return p != nil && p.members == members && (p.snapshot == snapshot || time.Since(p.at) < placementsPause)
+// fresh reports whether the placements may be used for the given members and directory.
+func (p *cachedPlacements) fresh(members *[]network.Member, snapshot *catalog.Snapshot) bool {
+	return p != nil && p.members == members && (p.snapshot == snapshot || time.Since(p.at) < minPlacementsAge)
 }
 
-// zoneTiers are distances between zones: the same, the same region, others.
-const zoneTiers = 3
+// distanceTiers is the number of distances between zones: same zone, same region, other region.
+const distanceTiers = 3
 
-// placements returns who owns what by the present members and directory.
+// placements returns the placements for the current members and directory.
 func (b *Backends) placements(members *[]network.Member) *placements {
 	snapshot := b.catalog.Current()
-	known := b.placed.Load()
-	if known.fresh(members, snapshot) {
-		return known.placements
+	cached := b.currentPlacements.Load()
+	if cached.fresh(members, snapshot) {
+		return cached.placements
 	}
-	// One goroutine places, and who has placements goes on with them meanwhile: 18 that did so
-	// at once on each of 294 nodes before 1,800 servers took all of their processors, and 110
-	// MB of each.
-	if known == nil {
-		b.placing.Lock()
-	} else if !b.placing.TryLock() {
-		return known.placements
+	// Only one goroutine computes; the others go on with the earlier placements. Computing in many
+	// goroutines at once would take too much processor time and memory.
+	if cached == nil {
+		b.placementMutex.Lock()
+	} else if !b.placementMutex.TryLock() {
+		return cached.placements
 	}
-	defer b.placing.Unlock()
-	if known = b.placed.Load(); known.fresh(members, snapshot) {
-		return known.placements
+	defer b.placementMutex.Unlock()
+	if cached = b.currentPlacements.Load(); cached.fresh(members, snapshot) {
+		return cached.placements
 	}
 	now := time.Now()
-	zones := b.ownedZones(snapshot, len(*members)+1)
+	zones := b.ownedServerZones(snapshot, len(*members)+1)
 	// Listings may come in any order.
-	inOrder := slices.SortedFunc(slices.Values(*members), func(a, b network.Member) int { return strings.Compare(a.Name, b.Name) })
-	if known != nil && maps.Equal(known.zones, zones) && slices.Equal(known.placements.members, inOrder) {
-		// Nothing changed that matters: rankings that were made of it stand.
-		b.placed.Store(&placedAt{known.placements, members, snapshot, now})
-		return known.placements
+	sorted := slices.SortedFunc(slices.Values(*members),
+		func(a, b network.Member) int { return strings.Compare(a.Name, b.Name) })
+	if cached != nil && maps.Equal(cached.zones, zones) && slices.Equal(cached.placements.members, sorted) {
+		// Nothing relevant changed: keep the placements, so that rankings computed from them stay
+		// valid.
+		b.currentPlacements.Store(&cachedPlacements{cached.placements, members, snapshot, now})
+		return cached.placements
 	}
-	made := b.place(zones, inOrder)
-	b.placed.Store(&placedAt{made, members, snapshot, now})
-	return made
+	computed := b.place(zones, sorted)
+	b.currentPlacements.Store(&cachedPlacements{computed, members, snapshot, now})
+	return computed
 }
 
-// place ranks the nodes for servers in some zones.
+// place assigns servers, given with their zones, to nodes.
 func (b *Backends) place(zones map[string]string, members []network.Member) *placements {
-	made := &placements{
+	result := &placements{
 		members: members, zones: zones, addresses: map[string]string{b.options.Name: ""},
 		regions: map[string]string{b.options.Name: b.options.Regions[b.options.Zone]},
 		tiers:   map[string][][]placement.Candidate{}, owners: map[string]string{},
@@ -99,22 +98,22 @@
 		servers[zone] = append(servers[zone], id)
 	}
 	for _, member := range members {
-		made.addresses[member.Name] = member.Address
-		made.regions[member.Name] = b.options.Regions[member.Zone]
+		result.addresses[member.Name] = member.Address
+		result.regions[member.Name] = b.options.Regions[member.Zone]
 	}
 	for zone, ids := range servers {
-		made.tiers[zone] = b.tiersFrom(zone, members)
-		for _, tier := range made.tiers[zone] {
+		result.tiers[zone] = b.tiersForZone(zone, members)
+		for _, tier := range result.tiers[zone] {
 			if len(tier) == 0 {
 				continue
 			}
-			if len(ids)*len(tier) <= mostPairs {
-				maps.Copy(made.owners, placement.Assign(ids, tier))
+			if len(ids)*len(tier) <= maxAssignedPairs {
+				maps.Copy(result.owners, placement.Assign(ids, tier))
 			}
 			break
 		}
 	}
-	return made
+	return result
 }
 
 // inRegionOf reports whether a node is in the region of a server.
@@ -123,12 +122,12 @@
 	return entry != nil && placed.regions[node] == b.options.Regions[entry.Zone]
 }
 
-// ownedZones returns the zones of the servers that have too few connections for each node to
-// keep its own.
-func (b *Backends) ownedZones(snapshot *catalog.Snapshot, nodes int) map[string]string {
+// ownedServerZones returns the zones of the servers with too few connections for each node to open
+// its own.
+func (b *Backends) ownedServerZones(snapshot *catalog.Snapshot, nodes int) map[string]string {
 	zones := map[string]string{}
 	for service, entries := range snapshot.ByService {
-		if b.sharesConnections(service, nodes) {
+		if b.enoughConnections(service, nodes) {
 			continue
 		}
 		for _, entry := range entries {
@@ -138,28 +137,28 @@
 	return zones
 }
 
-// tiersFrom sorts all nodes by their distance from a zone.
-func (b *Backends) tiersFrom(zone string, members []network.Member) [][]placement.Candidate {
-	tiers := make([][]placement.Candidate, zoneTiers)
-	sort := func(name, memberZone string, capacity network.Capacity) {
+// tiersForZone groups all nodes by distance from a zone.
+func (b *Backends) tiersForZone(zone string, members []network.Member) [][]placement.Candidate {
+	tiers := make([][]placement.Candidate, distanceTiers)
+	add := func(name, memberZone string, capacity network.Capacity) {
 		tier := b.ZoneDistance(memberZone, zone)
 		tiers[tier] = append(tiers[tier], placement.Candidate{ID: name, Weight: capacity.Weight()})
 	}
-	sort(b.options.Name, b.options.Zone, b.options.Capacity)
+	add(b.options.Name, b.options.Zone, b.options.Capacity)
 	for _, member := range members {
-		sort(member.Name, member.Zone, member.Capacity)
+		add(member.Name, member.Zone, member.Capacity)
 	}
 	return tiers
 }
 
-// owned returns how many servers' connections are assigned to this node.
-func (b *Backends) owned() float64 {
-	placed := b.placed.Load()
-	if placed == nil {
+// ownedServers returns how many servers' connections are assigned to this node.
+func (b *Backends) ownedServers() float64 {
+	currentPlacements := b.currentPlacements.Load()
+	if currentPlacements == nil {
 		return 0
 	}
 	count := 0
-	for _, owner := range placed.owners {
+	for _, owner := range currentPlacements.owners {
 		if owner == b.options.Name {
 			count++
 		}
--- a/internal/proxy/backends/placements_test.go
+++ b/internal/proxy/backends/placements_test.go
@@ -41,8 +41,8 @@
 	oldEntry   = `{"address":%q,"zone":"b"}`
 )
 
-// sizedFleet returns a node among two large nodes, eight small ones and one that tells no
-// capacity, before 24 servers of their zone.
+// sizedFleet returns a node among two large members, eight small ones and one without a stated
+// capacity, with 24 servers in the members' zone.
 func sizedFleet(t *testing.T) (*Backends, *sizedStore, *Server) {
 	t.Helper()
 	store := &sizedStore{entries: map[string]string{}}
@@ -53,7 +53,7 @@
 		store.entries[fmt.Sprintf("small%d", i)] = fmt.Sprintf(smallEntry, fmt.Sprintf("small%d", i))
 	}
 	store.entries["old"] = fmt.Sprintf(oldEntry, "old")
-	node, target := ownersNode(store, &linkPeers{asked: make(chan string, 100)}, &countingDialer{}, 20)
+	node, target := ownersNode(store, &linkPeers{requested: make(chan string, 100)}, &countingDialer{}, 20)
 	servers := make([]catalog.Server, 24)
 	for i := range servers {
 		servers[i] = catalog.Server{ID: fmt.Sprintf("s%d", i), Service: "bookings", Address: "s", Zone: "b"}
@@ -64,27 +64,27 @@
 	return node, store, target
 }
 
-// TestLargeNodesOwnMoreServers: a node with a quarter of the processor owns a quarter of the
-// servers, one that tells no capacity as many as the smallest.
+// The number of owned servers must follow the capacity of the nodes; a node without a stated
+// capacity counts as one of the smallest.
 func TestLargeNodesOwnMoreServers(t *testing.T) {
 	node, _, target := sizedFleet(t)
 	defer node.log.Close()
 	must.SliceNotEmpty(t, node.OwnersBefore(target))
 	owned := map[string]int{}
-	for _, owner := range node.placed.Load().owners {
+	for _, owner := range node.currentPlacements.Load().owners {
 		owned[owner]++
 	}
-	// 24 servers by weights of 0.8 twice and 0.192 nine times: 5.8 and 1.4 are fair. Equal
-	// shares would give the large two 4.4 together.
+	// The weights are 0.8 twice and 0.192 nine times, so the fair shares of 24 servers are 5.8 and
+	// 1.4. With equal shares the two large nodes would own 4.4 together.
 	must.Between(t, 9, owned["large0"]+owned["large1"], 16, must.Sprint(owned))
 	for _, name := range []string{"small0", "small7", "old"} {
 		must.Between(t, 0, owned[name], 2, must.Sprint(owned))
 	}
 }
 
-// TestListingsThatTellNothingNewMoveNobody: the same members and servers, read again, keep
-// the ranking; a member that leaves moves its servers, and each move is counted.
-func TestListingsThatTellNothingNewMoveNobody(t *testing.T) {
+// Reading the same members and servers again must keep the ranking. A member that leaves moves its
+// servers, and each move is counted.
+func TestUnchangedListingsKeepOwners(t *testing.T) {
 	node, store, target := sizedFleet(t)
 	defer node.log.Close()
 	node.OwnersBefore(target)
@@ -95,53 +95,54 @@
 	entry.Role, entry.Revision = catalog.Primary, entry.Revision+1
 	node.catalog.MergeDirectory([]catalog.Server{entry}, time.Now())
 	node.OwnersBefore(target)
-	must.True(t, before == target.owners.Load(), must.Sprint("the ranking was made anew"))
+	must.True(t, before == target.owners.Load(), must.Sprint("the ranking was recomputed"))
 
-	delete(store.entries, before.first)
+	delete(store.entries, before.owner)
 	_, err = node.ListMembers(t.Context(), time.Second)
 	must.NoError(t, err)
 	node.OwnersBefore(target)
-	must.NotEq(t, before.first, target.owners.Load().first)
+	must.NotEq(t, before.owner, target.owners.Load().owner)
 	must.Eq(t, float64(1), metricValue(t, node, "dewknot_owner_moves_total"))
 }
 
-// TestNodesAgreeOnOwners: whoever ranks, with the same members, names the same owner, which
-// alone opens connections.
+// All nodes with the same members must compute the same owner, and only that one opens connections.
 func TestNodesAgreeOnOwners(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(2, 12).Draw(t, "nodes")
 		members := make([]network.Member, count)
 		for i := range members {
 			members[i] = network.Member{
-				Name: fmt.Sprintf("n%d", i), Address: fmt.Sprintf("n%d", i), Zone: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "zone"),
+				Name: fmt.Sprintf("n%d", i), Address: fmt.Sprintf("n%d", i),
+				Zone:     rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "zone"),
 				Capacity: network.Capacity{Processors: rapid.SampledFrom([]float64{0, 0.192, 0.8}).Draw(t, "processors")},
 			}
 		}
 		zones := map[string]string{"s1": "a", "s2": "a", "s3": "b", "s4": "c", "s5": "c"}
 		owners := map[string]string{}
-		for i, own := range members {
+		for i, self := range members {
 			regions := map[string]string{"a": "r1", "b": "r2", "c": "r2"}
-			others := network.New(network.Options{Name: own.Name, Zone: own.Zone, Regions: regions}, network.Ports{}, idle{},
-				catalog.New(time.Second), time.Now(), eventlog.New(io.Discard, eventlog.Config{Node: own.Name, LinesPerSecond: 1}))
-			node := New(Options{Name: own.Name, Zone: own.Zone, Capacity: own.Capacity, Regions: regions},
-				Ports{Dialer: &countingDialer{}}, others, func(time.Time) {})
+			nodeNetwork := network.New(network.Options{Name: self.Name, Zone: self.Zone, Regions: regions},
+				network.Ports{}, stubNode{}, catalog.New(time.Second), time.Now(),
+				eventlog.New(io.Discard, eventlog.Config{Node: self.Name, LinesPerSecond: 1}))
+			node := New(Options{Name: self.Name, Zone: self.Zone, Capacity: self.Capacity, Regions: regions},
+				Ports{Dialer: &countingDialer{}}, nodeNetwork, func(time.Time) {})
 			rest := append(append([]network.Member(nil), members[:i]...), members[i+1:]...)
 			placed := node.place(zones, rest)
 			for id := range zones {
-				first := placed.owners[id]
-				must.Eq(t, first == own.Name, len(node.rankOwners(id, placed).before) == 0)
-				if known, found := owners[id]; found {
-					must.Eq(t, known, first)
+				owner := placed.owners[id]
+				must.Eq(t, owner == self.Name, len(node.rankOwners(id, placed).preceding) == 0)
+				if earlier, found := owners[id]; found {
+					must.Eq(t, earlier, owner)
 				}
-				owners[id] = first
+				owners[id] = owner
 			}
 			node.log.Close()
 		}
 	})
 }
 
-// TestCapacityIsItsScarcestPart covers what is not told, too.
-func TestCapacityIsItsScarcestPart(t *testing.T) {
+// The weight of a node must follow its scarcest resource and ignore those that are not stated.
+func TestCapacityWeightFollowsScarcestResource(t *testing.T) {
 	for _, test := range []struct {
 		capacity network.Capacity
 		weight   float64
@@ -169,35 +170,34 @@
 			return metric.GetCounter().GetValue() + metric.GetGauge().GetValue()
 		}
 	}
-	t.Fatalf("there is no metric %s", name)
+	t.Fatalf("metric %s not found", name)
 	return 0
 }
 
-// TestPlacementsStandWhileServersEnter: servers that enter one by one do not make all be
-// placed anew for each. One that has no place yet is ranked by itself, and gets its place
-// within placementsPause.
-func TestPlacementsStandWhileServersEnter(t *testing.T) {
+// Servers that join one by one must not cause a new computation each. A server without a placement
+// is ranked on its own and gets a placement within minPlacementsAge.
+func TestPlacementsAreReusedWhileServersJoin(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		node, _, target := sizedFleet(t)
 		defer node.log.Close()
 		node.OwnersBefore(target)
-		before := node.placed.Load().placements
+		before := node.currentPlacements.Load().placements
 		for i := range 50 {
 			node.catalog.MergeDirectory([]catalog.Server{{
 				ID: fmt.Sprintf("late%d", i), Service: "bookings", Address: "s", Zone: "b", Revision: era.Revision(100 + i),
 			}}, time.Now())
 			must.SliceNotEmpty(t, node.OwnersBefore(node.Server(fmt.Sprintf("late%d", i))))
-			must.True(t, before == node.placed.Load().placements, must.Sprint("placed anew"))
+			must.True(t, before == node.currentPlacements.Load().placements, must.Sprint("the placements were recomputed"))
 		}
-		time.Sleep(placementsPause)
+		time.Sleep(minPlacementsAge)
 		node.OwnersBefore(target)
-		must.MapContainsKey(t, node.placed.Load().owners, "late49")
+		must.MapContainsKey(t, node.currentPlacements.Load().owners, "late49")
 	})
 }
 
-// TestManyServersAreRankedOnly: before so many servers that to assign them would take a small
-// node's processor, each goes to the node that ranks first for it, by capacity.
-func TestManyServersAreRankedOnly(t *testing.T) {
+// Too many servers for an assignment are ranked one by one; nodes must still get shares by
+// capacity.
+func TestManyServersAreRankedWithoutAssignment(t *testing.T) {
 	node, _, _ := sizedFleet(t)
 	defer node.log.Close()
 	servers := make([]catalog.Server, 1000)
@@ -205,15 +205,15 @@
 		servers[i] = catalog.Server{ID: fmt.Sprintf("s%d", i), Service: "bookings", Address: "s", Zone: "b"}
 	}
 	node.catalog.ReplaceDirectory(servers, 0, time.Now())
-	placed := node.place(node.ownedZones(node.catalog.Current(), 12), *node.Members.Load())
+	placed := node.place(node.ownedServerZones(node.catalog.Current(), 12), *node.Members.Load())
 	must.MapEmpty(t, placed.owners)
 	large := 0
 	for i := range servers {
-		first := node.rankOwners(servers[i].ID, placed).first
-		if first == "large0" || first == "large1" {
+		owner := node.rankOwners(servers[i].ID, placed).owner
+		if owner == "large0" || owner == "large1" {
 			large++
 		}
 	}
-	// Their fair share is 0.48.
+	// The two large nodes' fair share is 0.48.
 	must.Between(t, 430, large, 530)
 }
--- a/internal/proxy/backends/service.go
+++ b/internal/proxy/backends/service.go
@@ -25,22 +25,23 @@
 type Server struct {
 	ID      string
 	service string
-	// born tells the server's life, lacks what its log may lack if an earlier one is known.
-	born  int64
-	lacks lostLog
-	// cold counts what this node sends to the server while it is slow from its start.
+	// incarnation identifies the server's process. logLoss is what its log may lack if an earlier
+	// incarnation is known.
+	incarnation int64
+	logLoss     logLossState
+	// cold limits this node's requests to the server while it is slow after its start.
 	cold  cold.Limiter
 	Stats *upstream.Stats
 	Pool  *upstream.Pool
 	Gate  *admission.Gate
-	// detour is how the server is reached while it cannot be reached directly.
-	detour atomic.Pointer[detour]
-	// owners are the nodes whose connections callers' work uses, shunned one of
+	// indirectPath is set while the server cannot be reached directly.
+	indirectPath atomic.Pointer[indirectPath]
+	// owners ranks the nodes whose connections are used for callers' work. skippedOwner is one of
 	// them that does not reach the server.
-	owners  atomic.Pointer[ranking]
-	shunned atomic.Pointer[shunned]
-	// Remote counts this node's work on the server that goes through an owner, told is what
-	// that one tells of the work which waits for the server.
+	owners       atomic.Pointer[ranking]
+	skippedOwner atomic.Pointer[skippedOwner]
+	// Remote counts this node's work on the server that goes through an owner. Told holds the
+	// owner's load reports.
 	Remote atomic.Int64
 	Told   told.View
 }
@@ -52,35 +53,35 @@
 	Belief   *leadership.Belief
 	Proofs   freshness.Proofs
 
-	// refresh lets one goroutine at a time ask the primary for a proof.
-	refresh refresher
+	// proofRefresh lets one goroutine at a time ask the primary for a proof.
+	proofRefresh proofRefresher
 
-	// lastUsed is when a statement last asked for the service, in nanoseconds
-	// since the node's start.
+	// lastUsed is when a statement last asked for the service, in nanoseconds since the node's
+	// start.
 	lastUsed atomic.Int64
-	// witness is the address of a node that lately reached the primary.
-	witness atomic.Pointer[string]
-	health  leaderHealth
-	// outage follows whether a primary answers, leaseless whether this node has leases to use it,
-	// where nodes agree on primaries.
-	outage    leadership.Outage
-	leaseless leadership.Outage
-	// TurnedAway follows whether the service turns work away for want of room.
+	// witnessAddress is the address of a node that recently reached the primary.
+	witnessAddress atomic.Pointer[string]
+	health         primaryHealth
+	// outage tracks the time without a primary that answers, leaseOutage the time without leases to
+	// use the primary if nodes agree on tenures.
+	outage      leadership.Outage
+	leaseOutage leadership.Outage
+	// TurnedAway tracks whether the service rejects work for lack of headroom.
 	TurnedAway TurnedAway
-	// warmed is set once connections for a survey were opened ahead.
-	warmed atomic.Bool
-	// replication holds one token: it keeps surveys, which may hold replicas,
-	// apart from letting go. Both wait for servers while they have it.
-	replication chan struct{}
-	seeking     sync.Mutex
-	mutex       sync.Mutex
-	machine     *failover.Machine
-	// trace records the machine; nil if it is not wanted.
-	trace    FailoverTrace
-	lastSeen failover.Phase
+	// prewarmed is set once connections were opened in advance.
+	prewarmed atomic.Bool
+	// replication is a semaphore with one slot. It keeps surveys, which may pause replication,
+	// apart from resuming replication. Both wait for servers while they hold it.
+	replication    chan struct{}
+	findingPrimary sync.Mutex
+	mutex          sync.Mutex
+	machine        *failover.Machine
+	// trace records the machine's steps; nil without tracing.
+	trace     FailoverTrace
+	lastPhase failover.Phase
 }
 
-// Service returns a service's runtime state, which is made when it is first asked for.
+// Service returns a service's runtime state and creates it on first use.
 func (b *Backends) Service(name string) *Service {
 	if found, ok := b.services.Load(name); ok {
 		return found.(*Service)
@@ -88,7 +89,9 @@
 	rank := b.takeoverRank(name)
 	created := &Service{
 		backends: b, Name: name, Belief: leadership.NewBelief(), replication: make(chan struct{}, 1),
-		machine: failover.New(failover.Config{Node: b.options.Name, Life: b.options.Life, Rank: rank, Agreed: b.Tenures != nil}),
+		machine: failover.New(failover.Config{
+			Node: b.options.Name, Life: b.options.Life, Rank: rank, Agreed: b.Tenures != nil,
+		}),
 	}
 	if b.ports.Trace != nil {
 		created.trace = b.ports.Trace(name, rank)
@@ -97,24 +100,25 @@
 	return found.(*Service)
 }
 
-// attentionSpan is how long after its last use a service is looked at by a node
-// that does not hold its lease.
-const attentionSpan = 10 * time.Second
+// pollAfterUse is how long after its last use a service is polled by a node that does not hold its
+// lease.
+const pollAfterUse = 10 * time.Second
 
-// Used notes that a statement asks for the service.
+// Used records that a statement asks for the service.
 func (s *Service) Used(now time.Time) { s.lastUsed.Store(int64(now.Sub(s.backends.started))) }
 
-// attended reports whether this node looks at the service: it holds the lease,
-// acts, or serves callers of the service. Of many services, a node looks at few.
-func (s *Service) attended(now time.Time) bool {
+// needsPolling reports whether this node polls the service: it holds the lease, takes part in a
+// failover, or has recently served callers of the service. With many services, a node polls only
+// few of them.
+func (s *Service) needsPolling(now time.Time) bool {
 	s.mutex.Lock()
 	acting := s.machine.Holding() || s.machine.Phase() != failover.Watching
 	s.mutex.Unlock()
 	lastUsed := s.lastUsed.Load()
-	return acting || (lastUsed > 0 && now.Sub(s.backends.started)-time.Duration(lastUsed) < attentionSpan)
+	return acting || (lastUsed > 0 && now.Sub(s.backends.started)-time.Duration(lastUsed) < pollAfterUse)
 }
 
-// Takeovers of different nodes are spread over this span, in steps.
+// The takeovers of different nodes are delayed by different multiples of takeoverStep.
 const (
 	takeoverSteps = 8
 	takeoverStep  = 250 * time.Millisecond
@@ -126,7 +130,7 @@
 	return time.Duration(hash.Sum32()%takeoverSteps) * takeoverStep
 }
 
-// catalogChanged brings the runtime in line with a new snapshot.
+// catalogChanged updates the runtime state to a new snapshot.
 func (b *Backends) catalogChanged(previous, current *catalog.Snapshot) {
 	if previous.Configuration != current.Configuration {
 		b.setCeilings()
@@ -147,21 +151,23 @@
 	}
 }
 
-// Complete reports whether a snapshot suffices to serve callers.
+// Complete reports whether a snapshot is sufficient to serve callers.
 func Complete(snapshot *catalog.Snapshot) bool {
 	return snapshot.Configuration != nil && len(snapshot.Servers) > 0
 }
 
 func (b *Backends) serverChanged(entry *catalog.Server) {
-	lacks := b.endEarlierLife(entry)
+	logLoss := b.endEarlierIncarnation(entry)
 	if found, ok := b.Servers.Load(entry.ID); !ok {
 		stats := upstream.NewStats()
 		created := &Server{
-			ID: entry.ID, service: entry.Service, born: entry.Born, lacks: lacks, Stats: stats,
-			Pool: upstream.NewPool(b.ports.Dialer, upstream.Target{Address: entry.Address, Service: entry.Service, Server: entry.ID}, b.connectionCeiling(entry.Service), stats),
+			ID: entry.ID, service: entry.Service, incarnation: entry.Born, logLoss: logLoss, Stats: stats,
+			Pool: upstream.NewPool(b.ports.Dialer,
+				upstream.Target{Address: entry.Address, Service: entry.Service, Server: entry.ID},
+				b.connectionCeiling(entry.Service), stats),
 			Gate: newGate(entry.Slots),
 		}
-		created.Gate.Share(pooled{created.Pool})
+		created.Gate.Share(poolConnections{created.Pool})
 		created.Pool.OnFree(created.Gate.Wake)
 		b.Servers.Store(entry.ID, created)
 	} else if entry.Leaving() {
@@ -183,57 +189,57 @@
 	}
 }
 
-// Limits of one node's use of one server, before the server's own refusals
-// lower them.
+// Limits of one node's use of one server. The server's rejections may lower them.
 const (
-	// firstStatements and statementCeiling bound the statements running at a
-	// time, at first and ever. One node may have to carry all work.
-	firstStatements  = 8
-	statementCeiling = 32
-	// statementsPerSlot bounds the same by a server's slots: what has no slot waits at the
-	// node, in its order, in place of the server's queue, where it would keep a connection
-	// from others. On a day with replicas far behind, 2.5% of the operations are refused in
-	// place of 4.2% (one play, 72 tenants before servers of 3 slots and 32 connections).
+	// initialStatements and maxStatements bound the number of statements running at a time. One
+	// node may have to carry all work.
+	initialStatements = 8
+	maxStatements     = 32
+	// statementsPerSlot also bounds them, by the number of the server's slots. Work without a slot
+	// waits in the node's queue, which is ordered, instead of the server's queue, where it would
+	// occupy a connection.
 	statementsPerSlot = 2
-	// connectionShare is the part of a server's connections that a node may
-	// take; the rest is for questions about the server.
+	// connectionShare is the part of a server's connections that a node may open for callers' work.
+	// The rest is for requests about the server itself.
 	connectionShare = 0.85
-	// defaultConnections is the ceiling while the service is not configured.
+	// defaultConnections is the limit while the service is not configured.
 	defaultConnections = 4
 )
 
-// pooled tells a gate of a pool's connections. It implements admission.Connections.
-type pooled struct{ *upstream.Pool }
+// poolConnections implements admission.Connections for a pool.
+type poolConnections struct{ *upstream.Pool }
 
 // HasIdle implements admission.Connections.
-func (p pooled) HasIdle(principal string) bool { return p.Pool.HasIdle(upstream.Principal(principal)) }
+func (p poolConnections) HasIdle(principal string) bool {
+	return p.Pool.HasIdle(upstream.Principal(principal))
+}
 
-// newGate returns the gate of a server with a number of slots; 0 if that is not known.
+// newGate returns the gate of a server with a number of slots; 0 if it is unknown.
 func newGate(slots int) *admission.Gate {
-	ceiling := statementCeiling
+	ceiling := maxStatements
 	if slots > 0 {
 		ceiling = min(ceiling, statementsPerSlot*slots)
 	}
-	return admission.NewGate(min(firstStatements, ceiling), ceiling)
+	return admission.NewGate(min(initialStatements, ceiling), ceiling)
 }
 
-// connectionCeiling returns the most connections this node opens to one server.
+// connectionCeiling returns the maximum number of connections from this node to one server.
 func (b *Backends) connectionCeiling(service string) int {
 	configuration := b.catalog.Current().Configuration
 	if configuration == nil {
 		return defaultConnections
 	}
-	known, found := configuration.Services[service]
-	if !found || known.MaxConnections <= 0 {
+	configured, found := configuration.Services[service]
+	if !found || configured.MaxConnections <= 0 {
 		return defaultConnections
 	}
-	return max(1, int(connectionShare*float64(known.MaxConnections)))
+	return max(1, int(connectionShare*float64(configured.MaxConnections)))
 }
 
 func (b *Backends) setCeilings() {
 	b.Servers.Range(func(_, value any) bool {
-		known := value.(*Server)
-		known.Pool.SetCeiling(b.connectionCeiling(known.service))
+		server := value.(*Server)
+		server.Pool.SetCeiling(b.connectionCeiling(server.service))
 		return true
 	})
 }
@@ -244,7 +250,7 @@
 	}
 }
 
-// Server returns a server's runtime state, nil if the directory does not name it.
+// Server returns a server's runtime state, nil if it is not in the directory.
 func (b *Backends) Server(id string) *Server {
 	if found, ok := b.Servers.Load(id); ok {
 		return found.(*Server)
@@ -252,10 +258,10 @@
 	return nil
 }
 
-// Leader returns the server believed to be the primary, nil if none is usable.
+// Leader returns the primary if this node may use it now, else nil.
 func (s *Service) Leader(now time.Time) *Server {
 	id := s.Belief.Leader()
-	if id == "" || !s.Usable(id, now) || !s.leased(now) {
+	if id == "" || !s.Usable(id, now) || !s.hasLeases(now) {
 		return nil
 	}
 	if s.backends.Tenures != nil && s.Belief.Refuted(id, now) {
@@ -264,20 +270,20 @@
 	return s.backends.Server(id)
 }
 
-// OutageLeft returns how long the service is expected to stay without a primary that this node
-// can use.
+// OutageLeft returns how long the service is expected to stay without a primary that this node can
+// use.
 func (s *Service) OutageLeft(now time.Time) time.Duration {
 	left := s.outage.Left(now)
-	if _, overdue := s.leaseless.Overdue(now); overdue {
-		left = max(left, s.leaseless.Left(now))
+	if _, overdue := s.leaseOutage.Overdue(now); overdue {
+		left = max(left, s.leaseOutage.Left(now))
 	}
 	return left
 }
 
-// OutageOutlasts reports whether an outage has lasted longer than usual and is expected to go on
-// past a deadline.
+// OutageOutlasts reports whether an outage has lasted longer than usual and is expected to last
+// beyond a deadline.
 func (s *Service) OutageOutlasts(now, deadline time.Time) bool {
-	for _, outage := range []*leadership.Outage{&s.outage, &s.leaseless} {
+	for _, outage := range []*leadership.Outage{&s.outage, &s.leaseOutage} {
 		if left, overdue := outage.Overdue(now); overdue && now.Add(left).After(deadline) {
 			return true
 		}
@@ -285,8 +291,8 @@
 	return false
 }
 
-// leavingShare is the part of the drain bound during which a leaving server may
-// still receive work that no other server can take.
+// leavingShare is the part of DrainBound during which a draining server may still receive work that
+// no other server can take.
 const leavingShare = 0.7
 
 // Usable reports whether a server may receive new work.
@@ -304,30 +310,30 @@
 	if !entry.Draining && !entry.Gone {
 		return true
 	}
-	limit := time.Duration(leavingShare * float64(s.backends.options.DrainBound))
-	return now.Sub(entry.LeavingSince) < limit
+	window := time.Duration(leavingShare * float64(s.backends.options.DrainBound))
+	return now.Sub(entry.LeavingSince) < window
 }
 
-// evacuatedShare is the part of the evacuation bound during which a server of an evacuated zone
-// may still receive work that no other can take, and transactions may end: a planned change of
-// the primary takes less, and what the change of the zones takes to reach a node is left.
+// evacuatedShare is the part of EvacuationBound during which a server of an evacuated zone may
+// still receive work that no other server can take, and transactions may end. It is longer than a
+// planned change of the primary and leaves time for the evacuation to reach all nodes.
 const evacuatedShare = 0.2
 
-// withdrawn reports whether a server may receive nothing any more, since its zone is evacuated.
+// withdrawn reports whether a server may no longer receive any work because its zone is evacuated.
 func (s *Service) withdrawn(entry *catalog.Server, now time.Time) bool {
-	limit := time.Duration(evacuatedShare * float64(s.backends.options.EvacuationBound))
-	return entry.Evacuated() && now.Sub(entry.EvacuatedSince) >= limit
+	window := time.Duration(evacuatedShare * float64(s.backends.options.EvacuationBound))
+	return entry.Evacuated() && now.Sub(entry.EvacuatedSince) >= window
 }
 
-// Withdrawn reports whether open transactions on a server have to end, since its zone is
+// Withdrawn reports whether open transactions on a server have to end because its zone is
 // evacuated.
 func (s *Service) Withdrawn(id string, now time.Time) bool {
 	entry := s.backends.catalog.Current().Servers[id]
 	return entry != nil && s.withdrawn(entry, now)
 }
 
-// Servable reports whether the service has a server whose zone is not evacuated, and to whose
-// region work with some homes may go. One that is gone or down may come back.
+// Servable reports whether the service has a server whose zone is not evacuated and whose region is
+// allowed by homes. A server that is gone or down counts, since it may return.
 func (s *Service) Servable(now time.Time, homes ...catalog.Homes) bool {
 	for _, entry := range s.backends.catalog.Current().ByService[s.Name] {
 		if !s.withdrawn(entry, now) && s.backends.Allows(entry.Zone, homes...) {
@@ -337,7 +343,7 @@
 	return len(s.backends.catalog.Current().ByService[s.Name]) == 0
 }
 
-// Allows reports whether work with some homes may go to a zone.
+// Allows reports whether work with the given homes may go to a zone.
 func (b *Backends) Allows(zone string, homes ...catalog.Homes) bool {
 	region := b.options.Regions[zone]
 	for _, each := range homes {
@@ -348,7 +354,7 @@
 	return true
 }
 
-// submit gives the failover machine an event and carries out its effects.
+// submit passes an event to the failover machine and starts its effects.
 func (s *Service) submit(event failover.Event) {
 	s.mutex.Lock()
 	now := time.Now()
@@ -357,11 +363,11 @@
 		s.trace.Step(now.Sub(s.backends.started), event, effects)
 	}
 	phase := s.machine.Phase()
-	if phase != s.lastSeen {
+	if phase != s.lastPhase {
 		s.backends.log.Write(eventlog.FailoverPhase, zap.String("service", s.Name), zap.Stringer("phase", phase),
 			zap.String("leader", s.Belief.Leader()), zap.Bool("holding", s.machine.Holding()))
 		s.backends.metrics.failovers.WithLabelValues(s.Name, phase.String()).Inc()
-		s.lastSeen = phase
+		s.lastPhase = phase
 	}
 	s.mutex.Unlock()
 	for _, effect := range effects {
@@ -369,16 +375,16 @@
 	}
 }
 
-// perform carries out an effect that was decided at a time.
+// perform carries out an effect that was decided at the given time.
 func (s *Service) perform(effect failover.Effect, decided time.Time) {
-	if s.backends.Tenures != nil && s.performTenure(effect) {
+	if s.backends.Tenures != nil && s.performCampaignStep(effect) {
 		return
 	}
 	switch effect := effect.(type) {
 	case failover.Corroborate:
 		s.submit(s.corroborate(effect))
 	case failover.Detour:
-		s.takeDetour(effect.Server)
+		s.useIndirectPath(effect.Server)
 	case failover.ReadLease:
 		s.readLease()
 	case failover.ReclaimLease:
@@ -393,21 +399,22 @@
 		s.order(effect, decided)
 	case failover.LeaderFound:
 		if s.Belief.Confirm(effect.ID, s.Belief.Term()) {
-			s.backends.log.Write(eventlog.PrimaryProved, zap.String("by", "survey"), zap.String("service", s.Name), zap.String("server", effect.ID))
+			s.backends.log.Write(eventlog.PrimaryProved, zap.String("by", "survey"),
+				zap.String("service", s.Name), zap.String("server", effect.ID))
 		}
 	}
 }
 
-// orderLimit bounds an order to promote; one that is not answered is given again.
-const orderLimit = 600 * time.Millisecond
+// orderTimeout bounds an order to promote. An order without an answer is repeated.
+const orderTimeout = 600 * time.Millisecond
 
 func (s *Service) order(effect failover.Order, decided time.Time) {
 	if effect.Within > 0 && time.Since(decided) > effect.Within {
-		// This process stood still; another node may be at work.
+		// This process was suspended; another node may have taken over.
 		s.submit(failover.Ordered{Outcome: failover.NotSent})
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), orderLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), orderTimeout)
 	defer cancel()
 	outcome := s.backends.ports.Promoter.Promote(ctx, s.Name, effect.Target, s.backends.options.Name, effect.Token)
 	s.backends.log.Write(eventlog.FailoverOrder, zap.String("service", s.Name), zap.String("leader", s.Belief.Leader()),
@@ -415,14 +422,15 @@
 	s.submit(failover.Ordered{Outcome: outcome})
 }
 
-// Load returns the work of this node that a server has or that waits for it.
+// Load returns how much work of this node runs on the server or waits for it.
 func (t *Server) Load() int {
 	running, waiting := t.Gate.Load()
 	return running + waiting + int(t.Remote.Load())
 }
 
-// ExpectedWait returns how long work waits for a slot of the server. Where an owner
-// orders the work, what it tells stands for that, or what answers have lately taken.
+// ExpectedWait returns the expected wait for a slot of the server. It uses the owner's load report
+// if there is a recent one, else the longer of the local queue's wait and the latency of recent
+// answers.
 func (t *Server) ExpectedWait(request admission.Request, now time.Time) time.Duration {
 	if wait, known := t.Wait(request.Class, urgency.Of(request.Priority), now); known {
 		return wait
--- a/internal/proxy/backends/survey.go
+++ b/internal/proxy/backends/survey.go
@@ -14,26 +14,24 @@
 )
 
 const (
-	// BusyPause is the pause before a server that refused for want of a slot is asked again.
+	// BusyPause is the pause before a retry at a server that had no free slot.
 	BusyPause = 15 * time.Millisecond
-	// LeaderPause is the longest wait for a change of the primary before another look.
+	// LeaderPause is the longest wait for a change of the primary before the next check.
 	LeaderPause = 50 * time.Millisecond
 )
 
-// surveyLimit bounds the wait for the servers' reports. A status takes a slot,
-// so a server with a full queue answers late; one that is left out may be the
-// one that has received most.
-const surveyLimit = 600 * time.Millisecond
+// surveyTimeout bounds the wait for the servers' reports. A status request takes a slot, so a
+// server with a full queue answers late, and the server with the newest log must not be missed.
+const surveyTimeout = 600 * time.Millisecond
 
-// survey asks the servers of the service for their status. For one that does
-// not answer in time, but has answered others lately, the position it is known
-// to have applied stands for what it has received.
+// survey asks the servers of the service for their status. For a server that does not answer in
+// time, but has recently answered other requests, its last known applied position is used instead.
 func (s *Service) survey(effect failover.Survey) []failover.Report {
 	s.replication <- struct{}{}
 	defer func() { <-s.replication }()
 	var reports []failover.Report
 	var mutex sync.Mutex
-	var asked sync.WaitGroup
+	var requests sync.WaitGroup
 	for _, entry := range s.backends.catalog.Current().ByService[s.Name] {
 		if entry.ID == effect.Except || entry.Gone {
 			continue
@@ -42,15 +40,15 @@
 		if target == nil {
 			continue
 		}
-		asked.Go(func() {
-			deadline := time.Now().Add(surveyLimit)
-			status := target.report(upstream.Operation{Kind: upstream.ReportStatus}, deadline)
+		requests.Go(func() {
+			deadline := time.Now().Add(surveyTimeout)
+			status := target.requestStatus(upstream.Operation{Kind: upstream.ReportStatus}, deadline)
 			if status != nil && effect.Hold && !status.Primary {
-				status = target.report(upstream.Operation{Kind: upstream.HoldReplication, Term: status.Term + 1}, deadline)
+				status = target.requestStatus(upstream.Operation{Kind: upstream.HoldReplication, Term: status.Term + 1}, deadline)
 			}
 			assumed := false
 			if status == nil && !effect.Hold {
-				status = target.lastKnown(time.Now())
+				status = target.lastKnownStatus(time.Now())
 				assumed = true
 			}
 			if status == nil {
@@ -58,46 +56,48 @@
 			}
 			mutex.Lock()
 			defer mutex.Unlock()
-			reports = append(reports, failover.Report{ID: target.ID, Primary: status.Primary, Term: status.Term, Received: status.Received, Assumed: assumed, Lost: target.lacks.lacks(status.Received)})
+			reports = append(reports, failover.Report{
+				ID: target.ID, Primary: status.Primary, Term: status.Term,
+				Received: status.Received, Assumed: assumed, Lost: target.logLoss.missingAt(status.Received),
+			})
 		})
 	}
-	asked.Wait()
+	requests.Wait()
 	s.backends.log.Write(eventlog.FailoverSurvey, zap.String("service", s.Name), zap.Any("reports", reports))
 	return reports
 }
 
-// knownWithin is how old a server's last answer may be for its known position to
-// stand for a report.
-const knownWithin = time.Second
+// maxStatusAge is how old a server's last answer may be for its last known position to be used.
+const maxStatusAge = time.Second
 
-// lastKnown returns what a server's answers have shown, nil if they are old.
-func (t *Server) lastKnown(now time.Time) *upstream.Status {
+// lastKnownStatus returns the status shown by a server's earlier answers, nil if they are too old.
+func (t *Server) lastKnownStatus(now time.Time) *upstream.Status {
 	applied := t.Stats.Applied()
-	if applied.IsZero() || t.Stats.SinceAnswer(now) > knownWithin {
+	if applied.IsZero() || t.Stats.SinceAnswer(now) > maxStatusAge {
 		return nil
 	}
 	return &upstream.Status{Term: applied.Term, Received: applied}
 }
 
-// resumeReplication lets the replicas receive again. It never overlaps a survey:
-// a late word to one replica would let go of what the survey holds.
+// resumeReplication lets the replicas receive again. It never overlaps a survey: a late request
+// would resume a replica that the survey has paused.
 func (s *Service) resumeReplication() {
 	s.replication <- struct{}{}
 	defer func() { <-s.replication }()
-	deadline := time.Now().Add(resumeLimit)
-	var asked sync.WaitGroup
+	deadline := time.Now().Add(resumeTimeout)
+	var requests sync.WaitGroup
 	for _, entry := range s.backends.catalog.Current().ByService[s.Name] {
 		target := s.backends.Server(entry.ID)
 		if target == nil || entry.Gone {
 			continue
 		}
-		asked.Go(func() { target.resume(deadline) })
+		requests.Go(func() { target.resume(deadline) })
 	}
-	asked.Wait()
+	requests.Wait()
 }
 
-// resumeLimit bounds the wait for the replicas' answers.
-const resumeLimit = 250 * time.Millisecond
+// resumeTimeout bounds the wait for the replicas' answers.
+const resumeTimeout = 250 * time.Millisecond
 
 func (t *Server) resume(deadline time.Time) {
 	lease, err := t.Pool.Reserve(deadline)
@@ -112,14 +112,14 @@
 	lease.Return()
 }
 
-// report asks a server for its status until it answers or the deadline passes.
-func (t *Server) report(question upstream.Operation, deadline time.Time) *upstream.Status {
+// requestStatus sends a request that returns a status until it is answered or the deadline passes.
+func (t *Server) requestStatus(operation upstream.Operation, deadline time.Time) *upstream.Status {
 	for time.Now().Before(deadline) {
 		lease, err := t.Pool.Reserve(deadline)
 		if err != nil {
 			return nil
 		}
-		batch := lease.Run([]upstream.Operation{question}, deadline)
+		batch := lease.Run([]upstream.Operation{operation}, deadline)
 		if batch.Err != nil {
 			lease.Discard()
 			return nil
@@ -133,68 +133,68 @@
 	return nil
 }
 
-// standing is what a server's answer to a question for the primary's role shows.
-type standing uint8
+// probeResult is the result of a check whether a server is the primary.
+type probeResult uint8
 
 const (
-	// inconclusive: there was no free connection to ask on, which says nothing
-	// of the server.
-	inconclusive standing = iota
-	// silent: the server gave no answer.
-	silent
-	// otherwise: the server answered, and did not prove to be the primary.
-	otherwise
-	// leading: the server proved to be the primary.
-	leading
+	// probeInconclusive: no connection was free, which says nothing about the server.
+	probeInconclusive probeResult = iota
+	// probeSilent: the server gave no answer.
+	probeSilent
+	// probeNotPrimary: the server answered, but did not prove to be the primary.
+	probeNotPrimary
+	// probePrimary: the server proved to be the primary.
+	probePrimary
 )
 
-// lender is a way to a connection.
-type lender func(target *Server, deadline time.Time) (*upstream.Lease, error)
+// acquireFunc acquires a connection to a server.
+type acquireFunc func(target *Server, deadline time.Time) (*upstream.Lease, error)
 
-// lendOwn lends a connection for a question that may go through the server's owner.
-func (b *Backends) lendOwn(target *Server, deadline time.Time) (*upstream.Lease, error) {
+// acquireShared acquires a connection that may go through the server's owner.
+func (b *Backends) acquireShared(target *Server, deadline time.Time) (*upstream.Lease, error) {
 	return b.Lend(target, upstream.Own, deadline)
 }
 
-// reserve lends a connection of this node's own for a question about the server.
-func reserve(target *Server, deadline time.Time) (*upstream.Lease, error) {
+// acquireReserved acquires a connection of this node that is reserved for requests about the
+// server.
+func acquireReserved(target *Server, deadline time.Time) (*upstream.Lease, error) {
 	return target.Pool.Reserve(deadline)
 }
 
-// prove asks a server to open and end a transaction that only a primary accepts.
-func (s *Service) prove(target *Server, lend lender, deadline time.Time) standing {
-	held, holds := s.Hold(target.ID)
-	lease, err := lend(target, deadline)
+// probe asks a server to begin and roll back a transaction that only a primary accepts.
+func (s *Service) probe(target *Server, acquire acquireFunc, deadline time.Time) probeResult {
+	sentUnder, hasTenure := s.Hold(target.ID)
+	lease, err := acquire(target, deadline)
 	if err != nil {
 		if _, refused := upstream.RefusalOf(err); refused {
-			return otherwise
+			return probeNotPrimary
 		}
-		if errors.Is(err, upstream.ErrNoConnection) && target.Stats.Unanswered(time.Now()) < pingLimit {
-			return inconclusive
+		if errors.Is(err, upstream.ErrNoConnection) && target.Stats.Unanswered(time.Now()) < pingTimeout {
+			return probeInconclusive
 		}
-		return silent
+		return probeSilent
 	}
 	batch := lease.Run([]upstream.Operation{{Kind: upstream.Begin}, {Kind: upstream.Rollback}}, deadline)
 	if batch.Err != nil {
 		lease.Discard()
-		return silent
+		return probeSilent
 	}
 	arrived := time.Now()
 	lease.Settle(batch.Last())
-	if s.JudgeBegin(target, batch.First()) && holds && s.Confirmed(held, arrived, deadline) {
+	if s.JudgeBegin(target, batch.First()) && hasTenure && s.Confirmed(sentUnder, arrived, deadline) {
 		s.Proved(target, batch.SentAt, batch.First())
-		return leading
+		return probePrimary
 	}
-	return otherwise
+	return probeNotPrimary
 }
 
-// JudgeBegin reports whether a server has accepted a transaction as the primary, and
-// takes its word that it does not lead.
+// JudgeBegin reports whether a server has accepted a transaction as the primary. It records a
+// denial by the server.
 func (s *Service) JudgeBegin(target *Server, begin *upstream.Result) bool {
-	if !s.backends.present(target) {
+	if !s.backends.isCurrent(target) {
 		return false
 	}
-	s.disown(target, begin)
+	s.rejectIncompletePrimary(target, begin)
 	switch begin.Outcome {
 	case upstream.Succeeded:
 		return true
@@ -207,10 +207,10 @@
 	return false
 }
 
-// Proved takes an answer that only the primary gives to a question sent at a time. Where
-// nodes agree on tenures, it has been confirmed.
+// Proved records an answer that only the primary gives to a request sent at sentAt. If nodes agree
+// on tenures, the caller must have confirmed the answer.
 func (s *Service) Proved(target *Server, sentAt time.Time, result *upstream.Result) {
-	if !s.backends.present(target) {
+	if !s.backends.isCurrent(target) {
 		return
 	}
 	if s.backends.Tenures == nil && s.Belief.Confirm(target.ID, result.Position.Term) {
@@ -222,24 +222,23 @@
 	}
 }
 
-// refresher makes concurrent callers share one question to the primary.
-type refresher struct {
+// proofRefresher lets concurrent callers share one request to the primary.
+type proofRefresher struct {
 	mutex   sync.Mutex
 	running chan struct{}
 }
 
-// RefreshProof asks the primary for a new proof, or waits for the question
-// under way. A question under way began before the caller's, which is fine:
-// the caller looks whether the proof is new enough.
+// RefreshProof asks the primary for a new proof, or waits for a request in progress. That one was
+// sent before the call, so the caller must check whether the proof is new enough.
 func (s *Service) RefreshProof(deadline time.Time) {
-	s.refresh.mutex.Lock()
-	running := s.refresh.running
+	s.proofRefresh.mutex.Lock()
+	running := s.proofRefresh.running
 	if running == nil {
 		running = make(chan struct{})
-		s.refresh.running = running
-		go s.askProof(running, deadline)
+		s.proofRefresh.running = running
+		go s.requestProof(running, deadline)
 	}
-	s.refresh.mutex.Unlock()
+	s.proofRefresh.mutex.Unlock()
 	timer := time.NewTimer(time.Until(deadline))
 	defer timer.Stop()
 	select {
@@ -248,11 +247,11 @@
 	}
 }
 
-func (s *Service) askProof(done chan struct{}, deadline time.Time) {
+func (s *Service) requestProof(done chan struct{}, deadline time.Time) {
 	defer func() {
-		s.refresh.mutex.Lock()
-		s.refresh.running = nil
-		s.refresh.mutex.Unlock()
+		s.proofRefresh.mutex.Lock()
+		s.proofRefresh.running = nil
+		s.proofRefresh.mutex.Unlock()
 		close(done)
 	}()
 	target := s.Leader(time.Now())
@@ -260,14 +259,14 @@
 		time.Sleep(LeaderPause)
 		return
 	}
-	limit := time.Now().Add(ProofLimit)
-	if deadline.Before(limit) {
-		limit = deadline
+	requestDeadline := time.Now().Add(ProofLimit)
+	if deadline.Before(requestDeadline) {
+		requestDeadline = deadline
 	}
-	if s.prove(target, s.backends.lendOwn, limit) != leading {
+	if s.probe(target, s.backends.acquireShared, requestDeadline) != probePrimary {
 		time.Sleep(LeaderPause)
 	}
 }
 
-// ProofLimit bounds one question for a proof.
+// ProofLimit bounds one request for a proof.
 const ProofLimit = 300 * time.Millisecond
--- a/internal/proxy/backends/tenures.go
+++ b/internal/proxy/backends/tenures.go
@@ -12,39 +12,41 @@
 	"dewknot/internal/proxy/tenure"
 )
 
-// Where the platform checks no fences, an accepted transaction does not prove that the
-// server leads: a replaced primary goes on. Then the nodes agree on tenures, and what
-// only a primary may answer is believed if the tenure, under which it was asked for, was
-// covered by this node's leases when the answer came.
+// If the platform does not check fencing tokens, an accepted transaction does not prove that the
+// server is the primary: a replaced primary goes on accepting. The nodes then agree on tenures. An
+// answer that only a primary may give is valid if this node's leases still covered the tenure of
+// the request when the answer arrived.
 
-// newTenures returns the node's part in the agreement; nil if the platform checks fences.
+// newTenures returns the node's part in the agreement; nil if the platform checks fencing tokens.
 func (b *Backends) newTenures() *tenure.Keeper {
 	if !b.options.Agreed || b.ports.Messages == nil {
 		return nil
 	}
 	return tenure.New(tenure.Config{
-		Name: b.options.Name, Zone: b.options.Zone, Region: b.options.Regions[b.options.Zone], Address: b.options.MessageAddress, Life: LifeNumber(b.options.Life),
+		Name: b.options.Name, Zone: b.options.Zone, Region: b.options.Regions[b.options.Zone],
+		Address: b.options.MessageAddress, Life: LifeNumber(b.options.Life),
 		Capacity: b.options.Capacity.Weight(),
-		Store:    b.ports.Store, StoreEra: b.StoreEra, Kind: b.options.Kinds.Voters, Sender: b.ports.Messages, Peers: b.votingPeers,
-		Changed: b.tenureChanged, Voiced: b.lookSoon, Log: b.log,
+		Store:    b.ports.Store, StoreEra: b.StoreEra, Kind: b.options.Kinds.Voters,
+		Sender: b.ports.Messages, Peers: b.votingPeers,
+		Changed: b.tenureChanged, Voiced: b.pollSoon, Log: b.log,
 	})
 }
 
-// LifeNumber makes a number of what is unique to the process.
-func LifeNumber(life string) uint64 {
+// LifeNumber returns a hash of a process's incarnation.
+func LifeNumber(incarnation string) uint64 {
 	hash := fnv.New64a()
-	_, _ = hash.Write([]byte(life))
+	_, _ = hash.Write([]byte(incarnation))
 	return hash.Sum64()
 }
 
-// votingPeers returns the other nodes that take messages; nil while no list of members has come.
+// votingPeers returns the other nodes that receive messages; nil before the first list of members.
 func (b *Backends) votingPeers() []tenure.Peer {
-	known := b.Members.Load()
-	if known == nil {
+	members := b.Members.Load()
+	if members == nil {
 		return nil
 	}
-	peers := make([]tenure.Peer, 0, len(*known))
-	for _, member := range *known {
+	peers := make([]tenure.Peer, 0, len(*members))
+	for _, member := range *members {
 		if member.Messages != "" {
 			peers = append(peers, tenure.Peer{
 				Name: member.Name, Address: member.Messages, Zone: member.Zone, Region: b.options.Regions[member.Zone],
@@ -55,14 +57,14 @@
 	return peers
 }
 
-// ReceiveMessage takes a message from the node at an address.
+// ReceiveMessage handles a message from the node at an address.
 func (b *Backends) ReceiveMessage(from string, m *quorum.Message) {
 	if b.Tenures != nil {
 		b.Tenures.Receive(from, m)
 	}
 }
 
-// tenureChanged leads callers' work to the primary of a service's open tenure.
+// tenureChanged makes the primary of a service's open tenure the target of callers' work.
 func (b *Backends) tenureChanged(name string) {
 	s := b.Service(name)
 	primary := ""
@@ -75,16 +77,17 @@
 	}
 }
 
-// lookSoon makes the next look at the services come at once.
-func (b *Backends) lookSoon() {
+// pollSoon triggers a poll of the services at once.
+func (b *Backends) pollSoon() {
 	select {
-	case b.nudged <- struct{}{}:
+	case b.pollNow <- struct{}{}:
 	default:
 	}
 }
 
-// Hold returns the tenure under which a server is asked for what only the primary may
-// answer, and whether there is one. Where fences are checked, the answer itself tells.
+// Hold returns the tenure under which a server may be asked for what only the primary may answer,
+// and whether there is one. If the platform checks fencing tokens, the answer itself is the proof
+// and the tenure is empty.
 func (s *Service) Hold(server string) (quorum.Tenure, bool) {
 	if s.backends.Tenures == nil {
 		return quorum.Tenure{}, true
@@ -96,9 +99,9 @@
 	return view.Tenure, true
 }
 
-// leased reports whether this node may use the primary now. If its leases have run out
-// it asks for new ones.
-func (s *Service) leased(now time.Time) bool {
+// hasLeases reports whether this node may use the primary now. If its leases have expired, it
+// requests new ones.
+func (s *Service) hasLeases(now time.Time) bool {
 	if s.backends.Tenures == nil {
 		return true
 	}
@@ -110,31 +113,32 @@
 	return false
 }
 
-// confirmLimit bounds the wait for the voters' word on an answer that came after the
-// leases had run out: some round trips between regions.
-const confirmLimit = 400 * time.Millisecond
+// confirmTimeout bounds the wait for the voters to confirm an answer that arrived after the leases
+// had expired: some round trips between regions.
+const confirmTimeout = 400 * time.Millisecond
 
-// Confirmed reports whether an answer that has just come, and was asked for under a
-// tenure, is the primary's: no other server can have been ordered to lead before.
-func (s *Service) Confirmed(held quorum.Tenure, arrived, deadline time.Time) bool {
+// Confirmed reports whether an answer to a request sent under a tenure is the primary's: no other
+// server can have been ordered to become the primary before it arrived. It may wait for the voters
+// until the deadline.
+func (s *Service) Confirmed(sentUnder quorum.Tenure, arrived, deadline time.Time) bool {
 	if s.backends.Tenures == nil {
 		return true
 	}
-	if limit := arrived.Add(confirmLimit); limit.Before(deadline) {
-		deadline = limit
+	if latest := arrived.Add(confirmTimeout); latest.Before(deadline) {
+		deadline = latest
 	}
-	if s.backends.Tenures.Confirm(s.Name, held, arrived, deadline) {
+	if s.backends.Tenures.Confirm(s.Name, sentUnder, arrived, deadline) {
 		return true
 	}
-	s.backends.metrics.unproved.Inc()
-	s.backends.log.Write(eventlog.AnswerUnproved, zap.String("service", s.Name), zap.String("server", held.Primary),
-		zap.Uint64("ballot", held.Ballot), zap.Duration("waited", time.Since(arrived)),
+	s.backends.metrics.unconfirmed.Inc()
+	s.backends.log.Write(eventlog.AnswerUnproved, zap.String("service", s.Name), zap.String("server", sentUnder.Primary),
+		zap.Uint64("ballot", sentUnder.Ballot), zap.Duration("waited", time.Since(arrived)),
 		zap.Any("leases", s.backends.Tenures.Account(s.Name, arrived)))
 	return false
 }
 
-// LeaseAccount returns what this node knows of its leases for a service; false where fences are
-// checked.
+// LeaseAccount describes the state of this node's leases for a service; false if the platform
+// checks fencing tokens.
 func (b *Backends) LeaseAccount(service string, now time.Time) (tenure.Account, bool) {
 	if b.Tenures == nil {
 		return tenure.Account{}, false
@@ -142,16 +146,18 @@
 	return b.Tenures.Account(service, now), true
 }
 
-// Covered is confirmed without a wait, for answers that only add to what is known.
-func (s *Service) Covered(held quorum.Tenure, arrived time.Time) bool {
+// Covered is like Confirmed, but never waits for the voters. It is for answers that are optional,
+// such as additional proofs.
+func (s *Service) Covered(sentUnder quorum.Tenure, arrived time.Time) bool {
 	if s.backends.Tenures == nil {
 		return true
 	}
 	view := s.backends.Tenures.View(s.Name)
-	return view != nil && view.Tenure == held && view.Covers(arrived)
+	return view != nil && view.Tenure == sentUnder && view.Covers(arrived)
 }
 
-// Deny takes a server's own word that it does not lead.
+// Deny records a server's answer that it is not the primary. It reports whether that changes what
+// this node knows.
 func (s *Service) Deny(server string, now time.Time) bool {
 	if s.backends.Tenures == nil {
 		return s.Belief.Refute(server, now)
@@ -159,7 +165,7 @@
 	return s.Belief.Deny(server, now)
 }
 
-// observeTenure tells the failover machine what the nodes agree on.
+// observeTenure adds the state of the agreement to an observation.
 func (s *Service) observeTenure(observation *failover.Observation, now time.Time) {
 	observation.LeastBallot, observation.Voiceless = s.backends.Tenures.Standing()
 	view := s.backends.Tenures.View(s.Name)
@@ -171,8 +177,8 @@
 	observation.Highest = view.Highest
 }
 
-// lastPrimary returns the server whose health is looked at: the primary of the last
-// tenure known, also while that is closed, or the one believed in.
+// lastPrimary returns the server whose health is checked. It is the primary of the last known
+// tenure, even if that is closed, or the current primary if the platform checks fencing tokens.
 func (s *Service) lastPrimary() string {
 	if s.backends.Tenures == nil {
 		return s.Belief.Leader()
