--- a/internal/proxy/quorum/member.go
+++ b/internal/proxy/quorum/member.go
@@ -7,161 +7,160 @@
 	"time"
 )
 
-// Lease is the time until which a voter's last grant runs, in nanoseconds of the
-// member's steady clock. It is read on a request's path.
+// Lease is the expiry of a voter's last grant, in nanoseconds since the member's base time.
+// Requests read it concurrently.
 type Lease struct{ until atomic.Int64 }
 
-// View is what a member knows of a service's tenure. It is immutable; the leases
-// that it points to are renewed in place.
+// View is what a member knows about a service's tenure. It is immutable, but the leases that
+// it refers to are renewed in place.
 type View struct {
 	Tenure Tenure
-	// Open is set if a majority of voters gives leases for the tenure.
+	// Open is set if a majority of voters grants leases for the tenure.
 	Open bool
-	// Highest is the highest ballot that a voter has promised.
+	// Highest is the highest ballot that any voter has promised.
 	Highest uint64
 	leases  []*Lease
 	needed  int
 	base    time.Time
-	// partialSince is since when some voters, but too few, give leases for one tenure; zero if
-	// they do not.
+	// partialSince is the time since which some voters, but no majority, grant leases for a
+	// tenure; zero if there are none.
 	partialSince time.Time
 }
 
-// Partial reports whether some voters, but too few, have given leases for one tenure for a span:
-// others may as well.
-func (v *View) Partial(now time.Time, span time.Duration) bool {
-	return !v.partialSince.IsZero() && now.Sub(v.partialSince) >= span
+// Partial reports whether, for at least the duration, some voters but no majority have granted
+// leases for a tenure. Voters that were not asked may then complete the majority.
+func (v *View) Partial(now time.Time, duration time.Duration) bool {
+	return !v.partialSince.IsZero() && now.Sub(v.partialSince) >= duration
 }
 
-// Covers reports whether the tenure was surely the newest at a time: a majority of
-// voters has granted leases that run beyond it.
+// Covers reports whether the tenure was certainly the newest at a time: a majority of voters
+// has granted leases that expire later.
 func (v *View) Covers(at time.Time) bool {
 	covering, needed := v.Leases(at)
 	return v.Open && covering >= needed
 }
 
-// Leases returns how many voters' leases of the open tenure run beyond a time, and how many
-// are needed to use its primary.
+// Leases returns how many leases of the open tenure expire after a time, and how many are
+// needed to use its primary.
 func (v *View) Leases(at time.Time) (covering, needed int) {
-	since := int64(at.Sub(v.base))
+	offset := int64(at.Sub(v.base))
 	for _, lease := range v.leases {
-		if lease.until.Load() > since {
+		if lease.until.Load() > offset {
 			covering++
 		}
 	}
 	return covering, v.needed
 }
 
-// renewalsKept is how many renewals to a voter may await their answers.
+// renewalsKept is the maximum number of unanswered renewals remembered per voter.
 const renewalsKept = 8
 
-// renewal is a question to a voter: when it was sent, and up to which revision of which
-// life the voter's records were known then.
+// renewal is a request to a voter, with the incarnation and revision of the voter's records
+// that the member knew when it was sent.
 type renewal struct {
-	sequence  uint64
-	sentAt    time.Time
-	known     uint64
-	knownLife uint64
+	sequence         uint64
+	sentAt           time.Time
+	knownRevision    uint64
+	knownIncarnation uint64
 }
 
-// mirror is what a member knows of a voter.
-type mirror struct {
-	seat     Seat
-	life     uint64
-	revision uint64
-	// wholeAt is when the renewal was sent at whose answer all records were known; zero
-	// if they are not.
-	wholeAt time.Time
-	records map[string]Record
-	lease   *Lease
-	sent    []renewal
-	// pacer decides when the voter is asked again.
+// peer is a member's state of one voter.
+type peer struct {
+	entry       Seat
+	incarnation uint64
+	revision    uint64
+	// completeAt is when the renewal was sent whose answer completed the voter's records; zero
+	// if they are not complete.
+	completeAt time.Time
+	records    map[string]Record
+	lease      *Lease
+	sent       []renewal
 	pacer
-	// heard is when the voter was last heard of; until it was, when the table was taken.
-	heard time.Time
-	met   bool
-	// lost is the age of a voter's process that has no memory, when it was heard.
-	lost time.Duration
-	// unable is set while the voter's last answer was that it takes no part.
+	// heardAt is the time of the voter's last answer, initially the time the table was set.
+	heardAt   time.Time
+	contacted bool
+	// recoveringAge is the reported process age of a voter without state, zero if it has state.
+	recoveringAge time.Duration
+	// unable is set while the voter's last answer was that it does not take part.
 	unable bool
 }
 
-// Member keeps a node's leases. It is a reducer, not safe for concurrent use; the
+// Member maintains a node's leases. It is a state machine and not safe for concurrent use; the
 // views that it returns are.
 type Member struct {
-	name     string
-	life     uint64
-	base     time.Time
-	table    *Table
-	mirrors  []*mirror
-	sequence uint64
-	services map[string]*View
-	// distances are how far the voters are by name; nil if that is not known.
+	name        string
+	incarnation uint64
+	base        time.Time
+	table       *Table
+	peers       []*peer
+	sequence    uint64
+	views       map[string]*View
+	// distances are the distances to voters by name; nil if unknown.
 	distances map[string]int
 }
 
-// NewMember returns a member that knows no table yet. base is a time before all
-// others, from which leases are counted.
-func NewMember(name string, life uint64, base time.Time) *Member {
-	return &Member{name: name, life: life, base: base, sequence: FirstSequence(life), services: map[string]*View{}}
+// NewMember returns a member without a table. base must be earlier than all other times;
+// lease expiries are stored relative to it.
+func NewMember(name string, incarnation uint64, base time.Time) *Member {
+	return &Member{name: name, incarnation: incarnation, base: base, sequence: FirstSequence(incarnation), views: map[string]*View{}}
 }
 
-// sequenceShift leaves room for the questions of one process.
+// sequenceShift reserves the lower bits for the requests of one process.
 const sequenceShift = 24
 
-// FirstSequence returns the sequence number before a process's first question. Answers to
-// an earlier process of the node may still come, and must not be taken for its own.
-func FirstSequence(life uint64) uint64 { return life << sequenceShift }
+// FirstSequence returns the sequence number before a process's first request. Answers to
+// requests of the node's previous incarnation may still arrive and must not match.
+func FirstSequence(incarnation uint64) uint64 { return incarnation << sequenceShift }
 
-// Table returns the newest table known, nil if there is none.
+// Table returns the newest known table, or nil.
 func (n *Member) Table() *Table { return n.table }
 
-// SetTable takes a newer table; leases of the era before are given up. It returns
+// SetTable installs a newer table and drops the leases of the previous generation. It returns
 // the services whose views have changed.
 func (n *Member) SetTable(now time.Time, table *Table) []string {
 	if n.table != nil && table.Era <= n.table.Era {
 		return nil
 	}
-	// The way to a voter stays as long as it was.
-	trips := map[string]roundTrip{}
-	for _, of := range n.mirrors {
-		trips[of.seat.Name] = of.trip
+	// Round-trip times remain valid in the new generation.
+	estimators := map[string]rttEstimator{}
+	for _, p := range n.peers {
+		estimators[p.entry.Name] = p.rtt
 	}
 	n.table = table
-	n.mirrors = nil
-	for _, seat := range table.Seats {
-		of := &mirror{seat: seat, records: map[string]Record{}, lease: &Lease{}, heard: now}
-		of.trip = trips[seat.Name]
-		n.mirrors = append(n.mirrors, of)
+	n.peers = nil
+	for _, entry := range table.Seats {
+		p := &peer{entry: entry, records: map[string]Record{}, lease: &Lease{}, heardAt: now}
+		p.rtt = estimators[entry.Name]
+		n.peers = append(n.peers, p)
 	}
 	var changed []string
-	for service := range n.services {
-		n.look(now, service)
+	for service := range n.views {
+		n.updateView(now, service)
 		changed = append(changed, service)
 	}
 	return changed
 }
 
-// View returns what is known of a service, nil if nothing is.
-func (n *Member) View(service string) *View { return n.services[service] }
+// View returns the view of a service, or nil if nothing is known about it.
+func (n *Member) View(service string) *View { return n.views[service] }
 
-// Due asks the voters that are to be asked for leases now, and returns when the next one is.
-func (n *Member) Due(now time.Time, haste Haste) ([]Envelope, time.Time) {
+// Due returns the renewals to send now and the time at which the next one is due.
+func (n *Member) Due(now time.Time, mode Haste) ([]Envelope, time.Time) {
 	var out []Envelope
 	next := now.Add(RenewInterval)
-	spares, resting := n.spares(now, haste), n.resting(haste)
-	for _, of := range n.mirrors {
-		if slices.Contains(resting, of) {
+	spares, idle := n.spares(now, mode), n.idle(mode)
+	for _, p := range n.peers {
+		if slices.Contains(idle, p) {
 			continue
 		}
 		pause := time.Duration(0)
-		if slices.Contains(spares, of) {
+		if slices.Contains(spares, p) {
 			pause = spareInterval - RenewInterval
 		}
-		due := of.due(haste).Add(pause)
+		due := p.due(mode).Add(pause)
 		if !due.After(now) {
-			out = append(out, n.renewal(now, of))
-			due = of.due(haste).Add(pause)
+			out = append(out, n.renewal(now, p))
+			due = p.due(mode).Add(pause)
 		}
 		if due.Before(next) {
 			next = due
@@ -170,179 +169,179 @@
 	return out, next
 }
 
-// spares returns the voters that need not renew their leases now: a majority of others has
-// answered in time, and sooner. A voter's own member asks all, since it looks after them.
-func (n *Member) spares(now time.Time, haste Haste) []*mirror {
-	if haste != Calm || n.table == nil || n.table.Seat(n.name) != nil {
+// spares returns the voters whose leases need not be renewed now, because a majority of faster
+// voters has answered in time. A voter's own member renews all leases, since it monitors the
+// other voters.
+func (n *Member) spares(now time.Time, mode Haste) []*peer {
+	if mode != Calm || n.table == nil || n.table.Seat(n.name) != nil {
 		return nil
 	}
-	var sound, late []*mirror
-	for _, of := range n.mirrors {
+	var healthy, late []*peer
+	for _, p := range n.peers {
 		switch {
-		case of.wholeAt.IsZero():
-		case of.misses > 0 || (of.waiting && !of.due(haste).After(now)):
-			late = append(late, of)
+		case p.completeAt.IsZero():
+		case p.misses > 0 || (p.waiting && !p.due(mode).After(now)):
+			late = append(late, p)
 		default:
-			sound = append(sound, of)
+			healthy = append(healthy, p)
 		}
 	}
-	if len(sound) < n.table.Majority() {
+	if len(healthy) < n.table.Majority() {
 		return nil
 	}
-	slices.SortStableFunc(sound, func(a, b *mirror) int { return cmp.Compare(a.trip.smoothed, b.trip.smoothed) })
-	return append(late, sound[n.table.Majority():]...)
+	slices.SortStableFunc(healthy, func(a, b *peer) int { return cmp.Compare(a.rtt.smoothed, b.rtt.smoothed) })
+	return append(late, healthy[n.table.Majority():]...)
 }
 
-func (n *Member) renewal(now time.Time, of *mirror) Envelope {
+func (n *Member) renewal(now time.Time, p *peer) Envelope {
 	n.sequence++
-	of.ask(now)
-	of.sent = append(of.sent, renewal{n.sequence, now, of.revision, of.life})
-	if len(of.sent) > renewalsKept {
-		of.sent = of.sent[1:]
+	p.requestSent(now)
+	p.sent = append(p.sent, renewal{n.sequence, now, p.revision, p.incarnation})
+	if len(p.sent) > renewalsKept {
+		p.sent = p.sent[1:]
 	}
-	return Envelope{of.seat.Address, Message{
-		Kind: Renew, From: n.name, Life: n.life, Era: n.table.Era, Sequence: n.sequence, Known: of.revision, KnownLife: of.life,
+	return Envelope{p.entry.Address, Message{
+		Kind: Renew, From: n.name, Life: n.incarnation, Era: n.table.Era, Sequence: n.sequence, Known: p.revision, KnownLife: p.incarnation,
 	}}
 }
 
-func (n *Member) mirror(name string) *mirror {
-	for _, of := range n.mirrors {
-		if of.seat.Name == name {
-			return of
+func (n *Member) peer(name string) *peer {
+	for _, p := range n.peers {
+		if p.entry.Name == name {
+			return p
 		}
 	}
 	return nil
 }
 
-// Step takes a voter's message. It returns what to send, and the services whose
-// views have changed.
+// Step processes a message from a voter. It returns the messages to send and the services
+// whose views have changed.
 func (n *Member) Step(now time.Time, from string, m *Message) ([]Envelope, []string) {
-	of := n.mirror(m.From)
-	if of == nil || n.table.Era != m.Era {
+	p := n.peer(m.From)
+	if p == nil || n.table.Era != m.Era {
 		return nil, nil
 	}
 	switch m.Kind {
 	case Granted:
-		return n.granted(now, from, of, m)
+		return n.handleGrant(now, from, p, m)
 	case Push:
-		return n.pushed(now, from, of, m)
+		return n.handlePush(now, from, p, m)
 	case Unable:
-		of.heard, of.met = now, true
-		if asked := of.answered(m.Sequence); asked != nil {
-			of.answer(now, asked.sentAt, false)
+		p.heardAt, p.contacted = now, true
+		if request := p.renewalFor(m.Sequence); request != nil {
+			p.answerReceived(now, request.sentAt, false)
 		}
 		if !m.Normal {
-			of.lost = m.Age
+			p.recoveringAge = m.Age
 		}
-		of.wholeAt, of.unable = time.Time{}, true
+		p.completeAt, p.unable = time.Time{}, true
 	default:
 	}
 	return nil, nil
 }
 
-// meet begins anew with a voter whose process has changed.
-func (of *mirror) meet(life uint64) {
-	if of.life != life {
-		of.life, of.revision, of.wholeAt = life, 0, time.Time{}
-		of.records = map[string]Record{}
+// resetIfRestarted discards the voter's records if its process has changed.
+func (p *peer) resetIfRestarted(incarnation uint64) {
+	if p.incarnation != incarnation {
+		p.incarnation, p.revision, p.completeAt = incarnation, 0, time.Time{}
+		p.records = map[string]Record{}
 	}
-	of.lost = 0
+	p.recoveringAge = 0
 }
 
-func (n *Member) granted(now time.Time, from string, of *mirror, m *Message) ([]Envelope, []string) {
-	of.heard, of.met, of.unable = now, true, false
-	asked := of.answered(m.Sequence)
-	if asked == nil {
+func (n *Member) handleGrant(now time.Time, from string, p *peer, m *Message) ([]Envelope, []string) {
+	p.heardAt, p.contacted, p.unable = now, true, false
+	request := p.renewalFor(m.Sequence)
+	if request == nil {
 		return nil, nil
 	}
-	// An answer that brings neither news nor the lease of which one has run out was not
-	// worth its question.
-	ranOut := of.lease.until.Load() <= int64(now.Sub(n.base))
-	of.answer(now, asked.sentAt, ranOut || len(m.Records) > 0)
-	of.meet(m.Life)
-	if asked.knownLife == m.Life && asked.known > of.revision {
-		// The answer leaves out what was known then, and is not any more.
+	// The answer was useful if it brought records or replaced an expired lease.
+	expired := p.lease.until.Load() <= int64(now.Sub(n.base))
+	p.answerReceived(now, request.sentAt, expired || len(m.Records) > 0)
+	p.resetIfRestarted(m.Life)
+	if request.knownIncarnation == m.Life && request.knownRevision > p.revision {
+		// The answer omits records that were known at the time of the request but discarded since.
 		return nil, nil
 	}
-	changed := n.take(now, of, m.Records)
-	of.revision = max(of.revision, m.Revision)
+	changed := n.applyRecords(now, p, m.Records)
+	p.revision = max(p.revision, m.Revision)
 	if m.More {
-		return []Envelope{n.renewal(now, of)}, changed
+		return []Envelope{n.renewal(now, p)}, changed
 	}
-	of.wholeAt = asked.sentAt
-	until := int64(asked.sentAt.Add(LeaseSpan - clockMargin).Sub(n.base))
-	of.lease.until.Store(max(of.lease.until.Load(), until))
+	p.completeAt = request.sentAt
+	until := int64(request.sentAt.Add(LeaseSpan - clockMargin).Sub(n.base))
+	p.lease.until.Store(max(p.lease.until.Load(), until))
 	if m.Recall {
-		return []Envelope{{from, n.release(of, m, 0)}}, changed
+		return []Envelope{{from, n.releaseMessage(p, m, 0)}}, changed
 	}
 	return nil, changed
 }
 
-// release tells a voter up to which revision its records are known, and that no tenure that
-// they close is used any more.
-func (n *Member) release(of *mirror, m *Message, sequence uint64) Message {
+// releaseMessage reports the revision up to which a voter's records are known. The member no
+// longer uses tenures that these records close.
+func (n *Member) releaseMessage(p *peer, m *Message, sequence uint64) Message {
 	return Message{
-		Kind: Released, From: n.name, Life: n.life, Era: m.Era, Sequence: sequence, Service: m.Service, Ballot: m.Ballot,
-		Revision: of.revision, KnownLife: of.life,
+		Kind: Released, From: n.name, Life: n.incarnation, Era: m.Era, Sequence: sequence, Service: m.Service, Ballot: m.Ballot,
+		Revision: p.revision, KnownLife: p.incarnation,
 	}
 }
 
-// answered returns the renewal that an answer belongs to, nil if it is none of this
-// process's, or a very old one.
-func (of *mirror) answered(sequence uint64) *renewal {
-	for i := range of.sent {
-		if of.sent[i].sequence == sequence {
-			return &of.sent[i]
+// renewalFor returns the renewal that an answer belongs to, or nil if it was sent by another
+// process or is no longer remembered.
+func (p *peer) renewalFor(sequence uint64) *renewal {
+	for i := range p.sent {
+		if p.sent[i].sequence == sequence {
+			return &p.sent[i]
 		}
 	}
 	return nil
 }
 
-// pushed takes changed records. They are all that have changed after the revision Known:
-// if this one is not known, others may have changed before, and the revision up to which all
-// are known stays. The answer tells it.
-func (n *Member) pushed(now time.Time, from string, of *mirror, m *Message) ([]Envelope, []string) {
-	of.meet(m.Life)
-	changed := n.take(now, of, m.Records)
-	if m.Known <= of.revision {
-		of.revision = max(of.revision, m.Revision)
+// handlePush applies changed records: all that have changed after the known revision that the
+// message names. If the member lacks that revision, it may have missed earlier changes, and its
+// own revision must not advance. The answer reports the member's revision.
+func (n *Member) handlePush(now time.Time, from string, p *peer, m *Message) ([]Envelope, []string) {
+	p.resetIfRestarted(m.Life)
+	changed := n.applyRecords(now, p, m.Records)
+	if m.Known <= p.revision {
+		p.revision = max(p.revision, m.Revision)
 	}
 	if !m.Recall {
 		return nil, changed
 	}
-	return []Envelope{{from, n.release(of, m, m.Sequence)}}, changed
+	return []Envelope{{from, n.releaseMessage(p, m, m.Sequence)}}, changed
 }
 
-// take notes a voter's records and returns the services whose views have changed.
-func (n *Member) take(now time.Time, of *mirror, records []Record) []string {
+// applyRecords stores a voter's records and returns the services whose views have changed.
+func (n *Member) applyRecords(now time.Time, p *peer, records []Record) []string {
 	var changed []string
 	for _, record := range records {
-		if known, found := of.records[record.Service]; found && known.Revision >= record.Revision {
+		if current, found := p.records[record.Service]; found && current.Revision >= record.Revision {
 			continue
 		}
-		of.records[record.Service] = record
-		n.look(now, record.Service)
+		p.records[record.Service] = record
+		n.updateView(now, record.Service)
 		changed = append(changed, record.Service)
 	}
 	return changed
 }
 
-// look makes a service's view anew. A tenure that is no longer open stays known.
-func (n *Member) look(now time.Time, service string) {
-	before := n.services[service]
+// updateView rebuilds a service's view. A tenure that is no longer open stays in it.
+func (n *Member) updateView(now time.Time, service string) {
+	previous := n.views[service]
 	view := &View{needed: n.table.Majority(), base: n.base}
-	if before != nil {
-		view.Tenure, view.Highest = before.Tenure, before.Highest
+	if previous != nil {
+		view.Tenure, view.Highest = previous.Tenure, previous.Highest
 	}
 	open := map[Tenure][]*Lease{}
-	for _, of := range n.mirrors {
-		record, found := of.records[service]
+	for _, p := range n.peers {
+		record, found := p.records[service]
 		if !found {
 			continue
 		}
 		view.Highest = max(view.Highest, record.Promised)
 		if record.Open {
-			open[record.Chosen] = append(open[record.Chosen], of.lease)
+			open[record.Chosen] = append(open[record.Chosen], p.lease)
 		}
 	}
 	for tenure, leases := range open {
@@ -352,87 +351,87 @@
 	}
 	if !view.Open && len(open) > 0 {
 		view.partialSince = now
-		if before != nil && !before.partialSince.IsZero() {
-			view.partialSince = before.partialSince
+		if previous != nil && !previous.partialSince.IsZero() {
+			view.partialSince = previous.partialSince
 		}
 	}
-	n.services[service] = view
+	n.views[service] = view
 }
 
-// Delay returns the longest measured time until a voter's answer, and the questions in a row
-// that the voter with most of them has not answered in time.
-func (n *Member) Delay() (trip time.Duration, misses int) {
-	for _, of := range n.mirrors {
-		trip, misses = max(trip, of.trip.smoothed), max(misses, of.misses)
+// Delay returns the longest smoothed round-trip time and the highest number of consecutive
+// unanswered requests of any voter.
+func (n *Member) Delay() (rtt time.Duration, misses int) {
+	for _, p := range n.peers {
+		rtt, misses = max(rtt, p.rtt.smoothed), max(misses, p.misses)
 	}
-	return trip, misses
+	return rtt, misses
 }
 
-// Settled reports whether the records of all voters that are asked are known whole.
-func (n *Member) Settled() bool { return n.Whole()+len(n.resting(Calm)) >= len(n.mirrors) }
+// Settled reports whether the records of all voters in use are complete.
+func (n *Member) Settled() bool { return n.Whole()+len(n.idle(Calm)) >= len(n.peers) }
 
-// Whole counts the voters whose records are known whole.
+// Whole returns the number of voters whose records are complete.
 func (n *Member) Whole() int {
-	whole := 0
-	for _, of := range n.mirrors {
-		if !of.wholeAt.IsZero() {
-			whole++
+	count := 0
+	for _, p := range n.peers {
+		if !p.completeAt.IsZero() {
+			count++
 		}
 	}
-	return whole
+	return count
 }
 
-// Holdings returns the records of the other voters that were told whole to questions
-// sent after a time, for a voter that recovers.
+// Holdings returns the complete records of each other voter, as of a request sent no earlier
+// than after. A recovering voter uses them.
 func (n *Member) Holdings(after time.Time) [][]Record {
-	var holdings [][]Record
-	for _, of := range n.mirrors {
-		if of.seat.Name == n.name || of.wholeAt.IsZero() || of.wholeAt.Before(after) {
+	var recordSets [][]Record
+	for _, p := range n.peers {
+		if p.entry.Name == n.name || p.completeAt.IsZero() || p.completeAt.Before(after) {
 			continue
 		}
-		held := make([]Record, 0, len(of.records))
-		for _, record := range of.records {
-			held = append(held, record)
+		set := make([]Record, 0, len(p.records))
+		for _, record := range p.records {
+			set = append(set, record)
 		}
-		holdings = append(holdings, held)
+		recordSets = append(recordSets, set)
 	}
-	return holdings
+	return recordSets
 }
 
-// Silent returns the voters that have not been heard of for a span, or not at all for a
-// first span since the table was taken. The measured delay of a voter's answers is added: a
-// full link is no loss.
-func (n *Member) Silent(now time.Time, span, first time.Duration) []string {
+// Silent returns the voters without an answer for the timeout, or without any answer for
+// firstWait since the table was set. The measured delay of a voter's answers is added, so that a
+// congested link does not count as a failure.
+func (n *Member) Silent(now time.Time, timeout, firstWait time.Duration) []string {
 	var silent []string
-	for _, of := range n.mirrors {
-		since := now.Sub(of.heard) - of.trip.delay()
-		if of.seat.Name != n.name && (since >= span || (!of.met && since >= first)) {
-			silent = append(silent, of.seat.Name)
+	for _, p := range n.peers {
+		elapsed := now.Sub(p.heardAt) - p.rtt.excessDelay()
+		if p.entry.Name != n.name && (elapsed >= timeout || (!p.contacted && elapsed >= firstWait)) {
+			silent = append(silent, p.entry.Name)
 		}
 	}
 	return silent
 }
 
-// Heard counts the voters that have been heard of within a span and the measured delay of
-// their answers, or met for the first time; the member's own counts.
-func (n *Member) Heard(now time.Time, span time.Duration) int {
-	heard := 0
-	for _, of := range n.mirrors {
-		if of.seat.Name == n.name || now.Sub(of.heard)-of.trip.delay() < span {
-			heard++
+// Heard returns the number of voters whose last answer is within the window plus their measured
+// delay. A voter that has not answered yet counts from the time the table was set, the member's
+// own voter always.
+func (n *Member) Heard(now time.Time, window time.Duration) int {
+	count := 0
+	for _, p := range n.peers {
+		if p.entry.Name == n.name || now.Sub(p.heardAt)-p.rtt.excessDelay() < window {
+			count++
 		}
 	}
-	return heard
+	return count
 }
 
-// Lost counts the other voters that have no memory; each has to have been heard of
-// within a span.
-func (n *Member) Lost(now time.Time, span time.Duration) int {
-	lost := 0
-	for _, of := range n.mirrors {
-		if of.seat.Name != n.name && of.lost > 0 && now.Sub(of.heard) < span {
-			lost++
+// Lost returns the number of other voters that have no state and answered within the window.
+func (n *Member) Lost(now time.Time, window time.Duration) int {
+	count := 0
+	for _, p := range n.peers {
+		if p.entry.Name != n.name && p.recoveringAge > 0 && now.Sub(p.heardAt) < window {
+			count++
 		}
 	}
-	return lost
+	return count
 }
--- a/internal/proxy/quorum/message.go
+++ b/internal/proxy/quorum/message.go
@@ -7,41 +7,40 @@
 
 // The kinds of messages.
 const (
-	// Renew asks a voter for leases of all open tenures.
+	// Renew requests leases of all open tenures from a voter.
 	Renew Kind = iota + 1
-	// Granted answers Renew with the records changed since; unless More is set, it
-	// grants leases.
+	// Granted answers Renew with the records changed since. It grants leases unless More is set.
 	Granted
-	// Push tells a member that a record has changed; with Recall it must be answered.
+	// Push sends changed records to a member, which must answer if Recall is set.
 	Push
-	// Released answers a recall: the member uses no tenure below Ballot any more.
+	// Released answers a recall: the member no longer uses tenures below Ballot.
 	Released
-	// Prepare asks a voter to promise a ballot and to close the tenure before it.
+	// Prepare asks a voter to promise a ballot and to close the previous tenure.
 	Prepare
 	// Promised answers Prepare with the voter's record.
 	Promised
-	// Cleared tells a candidate that the voter has no lease left of a closed tenure.
+	// Cleared notifies a candidate that the voter has no outstanding lease of a closed tenure.
 	Cleared
-	// Choose asks a voter to hold the target of a ballot.
+	// Choose asks a voter to record the target of a ballot.
 	Choose
 	// Chosen answers Choose.
 	Chosen
-	// Open asks a voter to give leases for the chosen tenure.
+	// Open asks a voter to grant leases for the chosen tenure.
 	Open
 	// Opened answers Open.
 	Opened
-	// Denied says that another ballot or candidate stands against a question.
+	// Denied rejects a request because of another ballot or candidate.
 	Denied
-	// Unable says that the voter takes no part: it is of another era, it recovers,
-	// or it is none.
+	// Unable says that the voter does not take part: it has another generation, is recovering, is
+	// sealed, or is not a voter.
 	Unable
-	// Seal asks a voter to end its part in an era and to tell its records.
+	// Seal asks a voter to stop taking part in a generation and to send its records.
 	Seal
 	// Sealed answers Seal.
 	Sealed
-	// Announce tells a newer table, without records.
+	// Announce sends a newer table, possibly without its records.
 	Announce
-	// Inquire asks for the table; Announce answers it.
+	// Inquire requests the table; Announce answers it.
 	Inquire
 )
 
@@ -50,7 +49,7 @@
 	"denied", "unable", "seal", "sealed", "announce", "inquire",
 }
 
-// String returns the kind's name in logs.
+// String returns the kind's name for logs.
 func (k Kind) String() string {
 	if int(k) < len(kindNames) {
 		return kindNames[k]
@@ -58,7 +57,7 @@
 	return "unknown"
 }
 
-// ForVoter reports whether a message is a question to a voter.
+// ForVoter reports whether a message is a request to a voter.
 func (k Kind) ForVoter() bool {
 	switch k {
 	case Renew, Released, Prepare, Choose, Open, Seal:
@@ -68,49 +67,51 @@
 	}
 }
 
-// Message is what nodes tell each other. Fields that a kind does not need are empty.
+// Message is a message between nodes. Fields that a kind does not use are empty. It is encoded
+// as an array, so the order of the fields is fixed.
 type Message struct {
 	Kind Kind
-	// From is the sender's name, Life unique to its process.
+	// From is the sender's name.
 	From string
+	// Life is unique to the sender's process.
 	Life uint64
 	Era  uint64
-	// Sequence is chosen by who asks and returned with the answer.
+	// Sequence is chosen by the requester and returned with the answer.
 	Sequence uint64
-	// Known is the revision up to which a member knows a voter's records, KnownLife
-	// the life of the voter that it belongs to.
+	// Known is the revision up to which a member knows a voter's records. KnownLife is the
+	// voter's incarnation to which that revision belongs.
 	Known     uint64
 	KnownLife uint64
-	// Revision is that of a voter's newest record told so far.
+	// Revision is the revision up to which the voter's records have been sent.
 	Revision uint64
-	// More is set if further records follow on the next question; with Seal, if several
-	// messages may answer it. Each answer to Seal holds what follows the revision Known.
+	// More is set if the next request will bring further records. With Seal, it allows several
+	// messages as the answer. Each answer to Seal holds the records after the known revision.
 	More bool
-	// Recall asks for an answer to Push.
+	// Recall requires an answer to Push.
 	Recall   bool
 	Service  string
 	Ballot   uint64
 	Primary  string
 	Ordering bool
-	// Term, with Open, is the term in which the primary leads.
+	// Term is, with Open, the term in which the primary leads.
 	Term uint64
-	// Loose, with Open, tells that an order was not answered; with Promised, LooseFor is
-	// how long one for the record's loose server may still be carried out.
+	// Loose is set, with Open, if an order is unconfirmed. LooseFor is, with Promised, how long
+	// an unconfirmed order in the record may still be carried out.
 	Loose    bool
 	LooseFor time.Duration
-	// Clear is set if the voter has no lease left of a closed tenure.
+	// Clear is set if the voter has no outstanding lease of a closed tenure.
 	Clear bool
-	// Normal is set if the voter has its memory; Age is its process's.
+	// Normal is set if the voter has its state. Age is the age of its process.
 	Normal  bool
 	Age     time.Duration
 	Records []Record
 	Table   *Table
 }
 
-// candidate is the process that sent a message.
+// candidate returns the process that sent the message.
 func (m *Message) candidate() Candidate { return Candidate{m.From, m.Life} }
 
-// Envelope is a message and the address of the node that it goes to.
+// Envelope is a message with the address of its receiver.
 type Envelope struct {
 	To      string
 	Message Message
--- a/internal/proxy/quorum/nearest.go
+++ b/internal/proxy/quorum/nearest.go
@@ -6,76 +6,75 @@
 	"slices"
 )
 
-// A member learns all records of a voter before it holds a lease from it. With hundreds of
-// services and nodes these are most of what nodes send each other between regions, so a member
-// that is no voter learns them from the nearest majority only. It asks others if one of those
-// does not answer in time, or takes no part, or if they do not suffice.
+// A member must know all records of a voter before it holds a lease from it. With hundreds of
+// services and nodes, this is most of the traffic between regions, so a member that is not a voter
+// uses only the nearest majority. It uses others if one of these does not answer in time or does
+// not take part, or if these do not suffice.
 
-// latestRenewal is the longest way to a voter by which leases that are renewed at RenewInterval
-// do not run out in between.
-const latestRenewal = LeaseSpan - RenewInterval
+// maxUsableRTT is the longest round-trip time at which leases renewed every RenewInterval do not
+// expire in between.
+const maxUsableRTT = LeaseSpan - RenewInterval
 
-// SetDistances tells how far the voters are, by name; those that are left out are farthest.
+// SetDistances sets the distances to voters by name. Voters that are left out are farthest.
 func (n *Member) SetDistances(distances map[string]int) { n.distances = distances }
 
-// Placed reports whether it is known how far voters are.
+// Placed reports whether the distances to voters are known.
 func (n *Member) Placed() bool { return n.distances != nil }
 
-// failing reports whether a voter gives no leases in time.
-func (of *mirror) failing() bool {
-	return of.unable || of.misses > 0 || of.trip.smoothed > latestRenewal
+// failing reports whether a voter does not grant leases in time.
+func (p *peer) failing() bool {
+	return p.unable || p.misses > 0 || p.rtt.smoothed > maxUsableRTT
 }
 
-// resting returns the voters that are not asked. One whose records are known stays with the
-// others until those of the nearest are known as well.
-func (n *Member) resting(haste Haste) []*mirror {
-	if n.distances == nil || n.table == nil || haste == Wide || haste == Urgent || n.table.Seat(n.name) != nil {
+// idle returns the voters that get no renewals. A voter whose records are complete is not idle until
+// those of the nearest voters are complete as well.
+func (n *Member) idle(mode Haste) []*peer {
+	if n.distances == nil || n.table == nil || mode == Wide || mode == Urgent || n.table.Seat(n.name) != nil {
 		return nil
 	}
-	ranked := slices.Clone(n.mirrors)
-	slices.SortFunc(ranked, func(a, b *mirror) int {
+	ranked := slices.Clone(n.peers)
+	slices.SortFunc(ranked, func(a, b *peer) int {
 		return cmp.Or(cmp.Compare(n.distance(a), n.distance(b)), cmp.Compare(n.rank(a), n.rank(b)))
 	})
-	asked, sound := 0, 0
-	for _, of := range ranked {
-		if sound == n.table.Majority() {
+	used, healthy := 0, 0
+	for _, p := range ranked {
+		if healthy == n.table.Majority() {
 			break
 		}
-		asked++
-		if !of.failing() {
-			sound++
+		used++
+		if !p.failing() {
+			healthy++
 		}
 	}
-	if sound < n.table.Majority() {
+	if healthy < n.table.Majority() {
 		return nil
 	}
-	return slices.DeleteFunc(ranked[asked:], func(of *mirror) bool { return !of.wholeAt.IsZero() })
+	return slices.DeleteFunc(ranked[used:], func(p *peer) bool { return !p.completeAt.IsZero() })
 }
 
-// farthest is the distance of a voter whose place is not known.
-const farthest = 1 << 10
+// unknownDistance ranks voters without a known distance last.
+const unknownDistance = 1 << 10
 
-func (n *Member) distance(of *mirror) int {
-	if distance, known := n.distances[of.seat.Name]; known {
+func (n *Member) distance(p *peer) int {
+	if distance, found := n.distances[p.entry.Name]; found {
 		return distance
 	}
-	return farthest
+	return unknownDistance
 }
 
-// rank orders voters that are equally far in another way at each member, which spreads the
-// members over them.
-func (n *Member) rank(of *mirror) uint64 {
+// rank orders voters at equal distance. The order differs between members, which balances the load.
+func (n *Member) rank(p *peer) uint64 {
 	hash := fnv.New64a()
-	_, _ = hash.Write([]byte(n.name + "\x00" + of.seat.Name))
+	_, _ = hash.Write([]byte(n.name + "\x00" + p.entry.Name))
 	return hash.Sum64()
 }
 
-// KnownVoters returns the voters whose records are known whole.
+// KnownVoters returns the names of the voters whose records are complete.
 func (n *Member) KnownVoters() []string {
 	var names []string
-	for _, of := range n.mirrors {
-		if !of.wholeAt.IsZero() {
-			names = append(names, of.seat.Name)
+	for _, p := range n.peers {
+		if !p.completeAt.IsZero() {
+			names = append(names, p.entry.Name)
 		}
 	}
 	return names
--- a/internal/proxy/quorum/pacer.go
+++ b/internal/proxy/quorum/pacer.go
@@ -2,89 +2,88 @@
 
 import "time"
 
-// Haste tells how soon a member asks voters again.
+// Haste determines how soon a member sends its next requests to voters.
 type Haste uint8
 
 const (
-	// Calm renews leases before they run out.
+	// Calm renews leases before they expire.
 	Calm Haste = iota
-	// Eager is for something that waits for leases or records.
+	// Eager is used while something waits for leases or records.
 	Eager
-	// Wide is Eager where the nearest voters do not suffice: all are asked.
+	// Wide is used like the previous mode, but sends to all voters because the nearest ones do
+	// not suffice.
 	Wide
-	// Urgent is for a voter that needs the others' records to take part again. It asks
-	// four others at the most.
+	// Urgent is used by a voter that needs the records of the other voters, at most four, to
+	// recover.
 	Urgent
 )
 
 const (
-	// eagerPause is the pause from a question until the next one, once it is answered, while
-	// something waits for what that may bring. It doubles with each answer that has brought
-	// nothing.
+	// eagerPause is the delay from an answered request to the next one while something waits for
+	// leases or records. It doubles with each answer that was not useful.
 	eagerPause = 25 * time.Millisecond
-	// urgentPause is the same for a voter that recovers.
+	// urgentPause is the same delay for a recovering voter.
 	urgentPause = 40 * time.Millisecond
-	// spareInterval is the pause between questions to voters whose leases are not needed: they
-	// tell how long the way to them is.
+	// spareInterval is the interval of requests to voters whose leases are not needed. These
+	// requests measure the round-trip time.
 	spareInterval = 5 * time.Second
-	// settleLimit bounds the pauses towards a voter that has not told its records since
-	// the table was taken: it may be starting.
-	settleLimit = RenewInterval / 2
+	// maxInitialPause bounds the delay for a voter whose records are not complete yet: it may be
+	// starting.
+	maxInitialPause = RenewInterval / 2
 )
 
-// pacer decides when a voter is asked again. One question is under way at a time, and is
-// repeated after a time that follows the measured round trip and doubles. So a member's
-// questions get fewer as the voter's link or processor fills, and what all members ask is
-// bounded by their number over RenewInterval or by what the link carries, whichever is more.
+// pacer schedules the requests to a voter. One request is in flight at a time. It is repeated after
+// a timeout that depends on the measured round-trip time and doubles. So a member sends fewer
+// requests as the voter's link or processor becomes overloaded. The total rate of all members is
+// bounded by their number per RenewInterval or by the link's capacity, whichever is higher.
 type pacer struct {
-	trip    roundTrip
-	askedAt time.Time
-	// waiting is set while no answer to the last question has come, misses are the
-	// questions in a row that had none in time.
+	rtt        rttEstimator
+	lastSentAt time.Time
+	// waiting is set until the last request is answered. misses is the number of consecutive
+	// requests that were not answered in time.
 	waiting bool
 	misses  int
-	// vain are the answers in a row that brought nothing.
-	vain int
+	// emptyAnswers is the number of consecutive answers that were not useful.
+	emptyAnswers int
 }
 
-// ask notes a question.
-func (p *pacer) ask(now time.Time) {
+func (p *pacer) requestSent(now time.Time) {
 	if p.waiting {
 		p.misses++
 	}
-	p.askedAt, p.waiting = now, true
+	p.lastSentAt, p.waiting = now, true
 }
 
-// answer notes an answer to a question of some time; useful tells that it brought something.
-// One to an earlier question tells how long the way is, and that the last one is under way.
-func (p *pacer) answer(now, sentAt time.Time, useful bool) {
-	p.trip.measure(now.Sub(sentAt))
+// answerReceived records an answer to a request sent at sentAt. An answer to an earlier request is
+// an RTT measurement too, but the last request stays in flight.
+func (p *pacer) answerReceived(now, sentAt time.Time, useful bool) {
+	p.rtt.measure(now.Sub(sentAt))
 	p.misses = 0
-	if sentAt.Equal(p.askedAt) {
+	if sentAt.Equal(p.lastSentAt) {
 		p.waiting = false
 	}
-	p.vain++
+	p.emptyAnswers++
 	if useful {
-		p.vain = 0
+		p.emptyAnswers = 0
 	}
 }
 
-// due returns when the voter is to be asked.
-func (of *mirror) due(haste Haste) time.Time {
-	most, unknown := RenewInterval, of.wholeAt.IsZero()
-	if unknown {
-		most = settleLimit
+// due returns when the next request to the voter is due.
+func (p *peer) due(mode Haste) time.Time {
+	limit, incomplete := RenewInterval, p.completeAt.IsZero()
+	if incomplete {
+		limit = maxInitialPause
 	}
 	switch {
-	case of.askedAt.IsZero():
-		return of.askedAt
-	case of.waiting:
-		return of.askedAt.Add(of.trip.timeout(of.misses, most))
-	case haste == Urgent:
-		return of.askedAt.Add(urgentPause)
-	case haste == Eager || haste == Wide || unknown:
-		return of.askedAt.Add(doubled(eagerPause, of.vain, most))
+	case p.lastSentAt.IsZero():
+		return p.lastSentAt
+	case p.waiting:
+		return p.lastSentAt.Add(p.rtt.timeout(p.misses, limit))
+	case mode == Urgent:
+		return p.lastSentAt.Add(urgentPause)
+	case mode == Eager || mode == Wide || incomplete:
+		return p.lastSentAt.Add(backoff(eagerPause, p.emptyAnswers, limit))
 	default:
-		return of.askedAt.Add(RenewInterval)
+		return p.lastSentAt.Add(RenewInterval)
 	}
 }
--- a/internal/proxy/quorum/quorum.go
+++ b/internal/proxy/quorum/quorum.go
@@ -1,28 +1,28 @@
-// Package quorum agrees which server is the primary of each service, where a
-// replaced primary goes on accepting work: on platforms that check no fencing
-// tokens, an accepted transaction proves nothing.
+// Package quorum decides which server is the primary of each service on platforms that
+// check no fencing tokens. A replaced primary keeps accepting work there, so an accepted
+// transaction does not prove that its server is still the primary.
 //
-// A few nodes, the voters, are named in a table of the durable store. Each holds
-// the same record a service: the highest ballot promised, and the tenure chosen
-// under it. A ballot is the fencing token of a promotion; a tenure is a server's
-// time as the primary under one ballot. Two things need a majority of voters, and
-// any two majorities share a voter:
+// A few nodes, the voters, are listed in a table in the durable store. Each voter keeps
+// one record per service: the highest promised ballot and the tenure chosen under it. A
+// ballot is the fencing token of a promotion. A tenure is a server's time as the primary
+// under one ballot. Two operations need a majority of voters, and any two majorities share
+// a voter:
 //
 //   - a lease to use the primary of an open tenure, for LeaseSpan from the time the
-//     request for it was sent (Member);
-//   - a change of the primary: a candidate prepares a ballot, which closes the
-//     tenure and recalls the leases, chooses a target, and orders it once a majority
-//     of voters has no lease left (Voter).
+//     request was sent (Member);
+//   - a change of the primary: a candidate prepares a ballot, which closes the tenure and
+//     recalls its leases, chooses a target, and orders the promotion once a majority of
+//     voters has no outstanding lease (Voter).
 //
-// So an answer that arrived within the lease was run before any other server could
-// be ordered to lead. Voters and Member are reducers: messages with their time go
-// in, messages go out. Nothing here does I/O or reads a clock.
+// An answer that arrives within the lease was therefore executed before any other server
+// could be ordered to become the primary. Voter and Member are state machines: they take
+// messages and the current time and return messages. They do no I/O and read no clock.
 //
-// Voters have no disk. One that restarts takes no part until it has copied the
-// records of a majority of the others, and counts unknown leases as held for
-// LeaseSpan. If a majority has lost its memory, or a voter is gone for good, the
-// table moves to its next era: a majority of the old era is sealed first, so that
-// nothing is decided in two eras.
+// Voters keep no state on disk. A restarted voter takes part only after it has copied the
+// records of a majority of voters, itself not counted, and assumes that unknown leases are
+// held for LeaseSpan. If a majority has lost its state, or a voter is gone permanently, the
+// table moves to its next generation. A majority of the old generation is sealed first, so
+// that nothing is decided in two generations.
 package quorum
 
 import (
@@ -31,47 +31,47 @@
 	"time"
 )
 
-// eraShift leaves the lower bits of a ballot to the candidates of an era: ballots of a
-// later era are higher, also if the voters of the one before have lost their memory.
-const eraShift = 40
+// generationShift reserves the lower bits of a ballot for the candidates of one generation.
+// Ballots of a later generation are higher even if the earlier voters have lost their state.
+const generationShift = 40
 
-// LeastBallot returns the lowest ballot of the table's era.
-func (t *Table) LeastBallot() uint64 { return t.Era << eraShift }
+// LeastBallot returns the lowest ballot of the table's generation.
+func (t *Table) LeastBallot() uint64 { return t.Era << generationShift }
 
-// Times and sizes of the protocol.
+// Durations and sizes of the protocol.
 const (
-	// LeaseSpan is how long a lease runs. It bounds the wait for nodes that do not
-	// answer a recall, and must outlast a few lost renewals.
+	// LeaseSpan is the duration of a lease. It bounds the wait for nodes that do not answer a
+	// recall, and must be long enough to survive a few lost renewals.
 	LeaseSpan = 1200 * time.Millisecond
-	// RenewInterval is the pause between renewals. Of five voters' answers two may be lost;
-	// a request that finds its leases run out asks for new ones at once.
+	// RenewInterval is the interval between renewals. Two of five voters' answers may be lost.
+	// A request that finds its leases expired asks for new ones immediately.
 	RenewInterval = 800 * time.Millisecond
-	// clockMargin is kept of a lease for clocks that tick at different rates.
+	// clockMargin is subtracted from a lease to allow for clocks that run at different rates.
 	clockMargin = 20 * time.Millisecond
-	// CandidateSpan is how long a voter leaves a matter to the candidate to whom it
-	// has last promised. An order is sent within OrderWindow of the candidate's last
-	// quorum; the rest is for the order's way.
-	CandidateSpan = 1500 * time.Millisecond
-	OrderWindow   = 700 * time.Millisecond
-	// RecallInterval is the shortest pause until a recall that was not answered is repeated.
+	// CandidateWindow is how long a voter reserves a service for the candidate it has last
+	// promised to. A candidate sends an order within OrderWindow of its last quorum; the
+	// remaining time is for the order's delivery.
+	CandidateWindow = 1500 * time.Millisecond
+	OrderWindow     = 700 * time.Millisecond
+	// RecallInterval is the minimum delay before an unanswered recall is repeated.
 	RecallInterval = 80 * time.Millisecond
-	// CountSpan is how long a candidate counts the answers to one question. A voter that
-	// has lost its memory takes the others' records from that age on: what its earlier
-	// process had answered is counted, and known to the others, by then.
+	// CountSpan is how long a candidate counts the answers to one request. A restarted voter
+	// accepts records of other voters only from this process age on: by then no answer of its
+	// previous incarnation is counted any more, and the other voters know what was decided.
 	CountSpan = 200 * time.Millisecond
-	// LostSpan is the age from which processes without memory may end an era of which
-	// a majority has none: no answer of their earlier processes counts any more. An order
-	// that is on its way then stands in the lease of the one who gave it.
+	// LostSpan is the process age from which voters without state may end a generation in
+	// which a majority has lost its state: no answer of their previous incarnations is
+	// counted any more. An order still in flight is then recorded in its sender's lease.
 	LostSpan = CountSpan
-	// MaxVoters is the most voters of a table. Two of five may be lost.
+	// MaxVoters is the maximum number of voters in a table. Two of five may fail.
 	MaxVoters = 5
-	// LooseSpan is how long an order that was not answered may still be carried out.
+	// LooseSpan is how long an unconfirmed order may still be carried out.
 	LooseSpan = 6 * time.Second
-	// pageRecords is how many records one message carries: about a kilobyte, which
-	// fits into a datagram. briefRecords is the same for members that are no voters, who
-	// need less of each.
-	pageRecords  = 12
-	briefRecords = 20
+	// pageRecords is how many records one message carries: about a kilobyte, which fits into
+	// a datagram. memberPageRecords is the limit for members that are not voters; their
+	// records have fewer fields.
+	pageRecords       = 12
+	memberPageRecords = 20
 )
 
 // Tenure is a server's time as the primary of a service.
@@ -80,37 +80,37 @@
 	Primary string `json:"primary"`
 }
 
-// Candidate is a process that changes a primary.
+// Candidate is a process that tries to change a primary.
 type Candidate struct {
 	Name string `json:"name"`
 	Life uint64 `json:"life"`
 }
 
-// Record is what a voter holds of a service.
+// Record is a voter's record of a service.
 type Record struct {
 	Service string `json:"service"`
-	// Revision rises with each change of any of the voter's records.
+	// Revision increases with each change to any of the voter's records.
 	Revision uint64 `json:"-"`
-	// Promised is the highest ballot promised, Candidate the process that prepared it: a
-	// later one of the same node must not use it again.
+	// Promised is the highest promised ballot. Candidate is the process that prepared it; a
+	// later process of the same node must not reuse the ballot.
 	Promised  uint64    `json:"promised"`
 	Candidate Candidate `json:"candidate"`
-	// Chosen is the tenure last chosen. Ordering is set while an order for its
-	// primary may be on its way; no other server may be ordered then.
+	// Chosen is the tenure chosen last. Ordering is set while an order to promote its primary
+	// may be in flight; no other server may be promoted then.
 	Chosen   Tenure `json:"chosen"`
 	Ordering bool   `json:"ordering,omitempty"`
-	// Open is set while leases are given for the chosen tenure.
+	// Open is set while the voter grants leases for the chosen tenure.
 	Open bool `json:"open,omitempty"`
-	// Term is the highest term of the log in which a primary of an open tenure led. A
-	// server that says that it leads in an older one has been replaced.
+	// Term is the highest log term in which a primary of an open tenure led. A server that
+	// claims to lead in an older term has been replaced.
 	Term uint64 `json:"term,omitempty"`
-	// Loose is a server for which an order was not answered: it may be carried out once
-	// more, within LooseSpan of the opening of its tenure.
+	// Loose is the server of an unconfirmed order, which may be carried out again within
+	// LooseSpan of the opening of its tenure.
 	Loose string `json:"loose,omitempty"`
 }
 
-// merge combines records of one service from a majority of voters into one that
-// holds all that a majority decided.
+// merge combines two records of one service. Merging the records of a majority of voters
+// gives a record that contains everything a majority has decided.
 func merge(a, b Record) Record {
 	merged := a
 	if b.Promised > a.Promised {
@@ -120,7 +120,7 @@
 	case b.Chosen.Ballot > a.Chosen.Ballot:
 		merged.Chosen, merged.Ordering, merged.Open = b.Chosen, b.Ordering, b.Open
 	case b.Chosen.Ballot == a.Chosen.Ballot:
-		// One that was told of the outcome knows that no order is on its way.
+		// A voter that knows the outcome knows that no order is in flight.
 		merged.Ordering = a.Ordering && b.Ordering
 		merged.Open = a.Open || b.Open
 	}
@@ -130,7 +130,7 @@
 	return merged
 }
 
-// Merge combines the records of one service that a majority of voters hold.
+// Merge combines a majority of voters' records of one service.
 func Merge(records []Record) Record {
 	var merged Record
 	for _, record := range records {
@@ -143,11 +143,11 @@
 	return merged
 }
 
-// MergeAll combines the records of several voters by service, in a fixed order.
-func MergeAll(holdings [][]Record) []Record {
+// MergeAll combines the records of several voters by service, sorted by service.
+func MergeAll(recordSets [][]Record) []Record {
 	byService := map[string][]Record{}
-	for _, held := range holdings {
-		for _, record := range held {
+	for _, set := range recordSets {
+		for _, record := range set {
 			byService[record.Service] = append(byService[record.Service], record)
 		}
 	}
@@ -163,42 +163,44 @@
 type Seat struct {
 	Name    string `json:"name"`
 	Address string `json:"address"`
-	// Life is unique to the process that begins the era with the table's records.
-	// A later process of the name recovers from the others.
+	// Life is unique to the process that starts the generation with the table's records. A
+	// later process of the same name recovers from the other voters.
 	Life uint64 `json:"life"`
 }
 
-// Table names the voters of an era. It lies in the durable store.
+// Table lists the voters of a generation. It is kept in the durable store.
 type Table struct {
+	// Era increases with each table.
 	Era   uint64 `json:"era"`
 	Seats []Seat `json:"seats"`
-	// StoreEra is the era of the store in which the table was written. A store that comes
-	// back from an older copy of itself has lost tables of its earlier era.
+	// StoreEra is the era of the store in which the table was written. A store restored from
+	// an older copy of itself has lost tables of its earlier era.
 	StoreEra uint64 `json:"store_era,omitempty"`
-	// Records are what the voters begin the era with, Count how many there are: nodes
-	// tell each other only short tables whole.
+	// Records are what the voters start the generation with, Count is their number. Nodes
+	// send each other the records of short tables only.
 	Records []Record `json:"records,omitempty"`
 	Count   int      `json:"count,omitempty"`
 }
 
-// lostTables is more than the tables that a store can lose which comes back from a copy some
-// seconds old: each takes a round trip to the store and one to the voters at least.
-const lostTables = 64
+// generationsPerStoreEra exceeds the number of tables that a store can lose when it is
+// restored from a copy some seconds old: writing one takes at least a round trip to the
+// store and one to the voters.
+const generationsPerStoreEra = 64
 
-// NextEra returns the number of the table that follows this one, nil if there is none, when
-// it is written in an era of the store. No table that the store has lost had that number: two
-// tables of one number could have different voters.
+// NextEra returns the number of the generation after this table, which may be nil, when it is
+// written in storeEra. No table that the store has lost had that number: two tables of one
+// number could list different voters.
 func (t *Table) NextEra(storeEra uint64) uint64 {
 	if t == nil {
-		return 1 + lostTables*storeEra
+		return 1 + generationsPerStoreEra*storeEra
 	}
-	return t.Era + 1 + lostTables*(max(storeEra, t.StoreEra)-t.StoreEra)
+	return t.Era + 1 + generationsPerStoreEra*(max(storeEra, t.StoreEra)-t.StoreEra)
 }
 
-// Majority is how many voters decide.
+// Majority returns the number of voters needed for a decision.
 func (t *Table) Majority() int { return len(t.Seats)/2 + 1 }
 
-// Seat returns the entry of a voter, nil if it is none.
+// Seat returns the entry of a voter, or nil if the node is not a voter.
 func (t *Table) Seat(name string) *Seat {
 	for i := range t.Seats {
 		if t.Seats[i].Name == name {
@@ -208,11 +210,12 @@
 	return nil
 }
 
-// Whole reports whether the table has its records.
+// Whole reports whether the table contains all its records.
 func (t *Table) Whole() bool { return len(t.Records) == t.Count }
 
-// Told returns the table as a node is told it: with its records only if they are few, and
-// the node is a voter, who begins the era with them. They come from the store else.
+// Told returns the table to send to a node. It contains the records only if they are few and
+// the node is a voter, which starts the generation with them. Otherwise the node reads them
+// from the store.
 func (t *Table) Told(name string) *Table {
 	if len(t.Records) == 0 || (len(t.Records) <= pageRecords && t.Seat(name) != nil) {
 		return t
--- a/internal/proxy/quorum/quorum_test.go
+++ b/internal/proxy/quorum/quorum_test.go
@@ -14,7 +14,7 @@
 
 func at(milliseconds int) time.Time { return epoch.Add(time.Duration(milliseconds) * time.Millisecond) }
 
-// group is a table of three voters and one member, without a network.
+// group consists of three voters and one member, without a network.
 type group struct {
 	table  *Table
 	voters []*Voter
@@ -38,16 +38,16 @@
 	return g
 }
 
-// Renewals asks all voters, whatever is due.
+// Renewals returns a renewal to every voter, due or not.
 func (n *Member) Renewals(now time.Time) []Envelope {
-	out := make([]Envelope, 0, len(n.mirrors))
-	for _, of := range n.mirrors {
-		out = append(out, n.renewal(now, of))
+	out := make([]Envelope, 0, len(n.peers))
+	for _, p := range n.peers {
+		out = append(out, n.renewal(now, p))
 	}
 	return out
 }
 
-// renew lets the member renew its leases with some voters, at a time.
+// renew renews the member's leases with some voters. now is in milliseconds.
 func (g *group) renew(t *testing.T, now int, voters ...int) {
 	t.Helper()
 	renewals := g.member.Renewals(at(now))
@@ -79,9 +79,9 @@
 	return all
 }
 
-// TestLeasesCoverWhatAMajorityGranted: two of three voters suffice, one does not, and a
-// lease ends a span after the question was sent.
-func TestLeasesCoverWhatAMajorityGranted(t *testing.T) {
+// TestLeasesNeedMajority guards against coverage by fewer than two of three voters, or beyond
+// LeaseSpan after the request was sent.
+func TestLeasesNeedMajority(t *testing.T) {
 	g := newGroup(openRecord())
 	g.renew(t, 2000, 0)
 	must.False(t, g.member.View("s").Covers(at(2000)))
@@ -92,13 +92,13 @@
 	last := 2100 + int((LeaseSpan-clockMargin)/time.Millisecond)
 	must.True(t, view.Covers(at(last-1)))
 	must.False(t, view.Covers(at(last)))
-	// The third voter makes a majority with either of the others.
+	// The third voter forms a majority with either of the others.
 	g.renew(t, 3000, 1, 2)
 	must.True(t, g.member.View("s").Covers(at(last)))
 }
 
-// TestCandidateWaitsForLeases: a voter tells that it is clear once the member has given
-// up its lease, or the lease has run out.
+// TestCandidateWaitsForLeases guards against a voter that reports no outstanding lease before the
+// member has released it or it has expired.
 func TestCandidateWaitsForLeases(t *testing.T) {
 	g := newGroup(openRecord())
 	g.renew(t, 2000, 0, 1, 2)
@@ -111,7 +111,7 @@
 	must.Eq(t, []Kind{Cleared}, kinds(cleared))
 	must.Eq(t, "x", cleared[0].To)
 
-	// Another voter's recall is lost; it is repeated, and the lease runs out.
+	// The recall of another voter is lost. It is repeated, and then the lease expires.
 	out = g.ask(1, 2100, Prepare, "x", 2, "")
 	must.Eq(t, []Kind{Promised, Push}, kinds(out))
 	must.False(t, out[0].Message.Clear)
@@ -122,9 +122,9 @@
 	must.Eq(t, []Kind{Cleared}, kinds(ended))
 }
 
-// TestRecallEndsTheLease: the answers that come after a majority of recalls are not
-// believed, though the leases would run on.
-func TestRecallEndsTheLease(t *testing.T) {
+// TestRecallEndsLease guards against accepting answers after a majority of voters has recalled
+// unexpired leases.
+func TestRecallEndsLease(t *testing.T) {
 	g := newGroup(openRecord())
 	g.renew(t, 2000, 0, 1, 2)
 	view := g.member.View("s")
@@ -135,15 +135,15 @@
 		g.member.Step(at(2101), groupNames[i], &out[1].Message)
 	}
 	must.False(t, g.member.View("s").Covers(at(2101)))
-	// A grant that was on its way does not bring the lease back.
+	// A grant that was in flight does not restore the lease.
 	g.renew(t, 2102, 0, 1)
 	must.False(t, g.member.View("s").Covers(at(2102)))
 	must.Eq(t, view.Tenure, g.member.View("s").Tenure)
 }
 
-// TestReleaseOfAnEarlierTenureIsNoRelease: a late answer to an old recall does not clear
-// the lease of a later tenure.
-func TestReleaseOfAnEarlierTenureIsNoRelease(t *testing.T) {
+// TestStaleReleaseDoesNotClearLease guards against a late answer to an old recall that clears the
+// lease of a later tenure.
+func TestStaleReleaseDoesNotClearLease(t *testing.T) {
 	g := newGroup(openRecord())
 	g.renew(t, 2000, 0)
 	out := g.ask(0, 2100, Prepare, "x", 2, "")
@@ -160,8 +160,8 @@
 	must.False(t, out[0].Message.Clear)
 }
 
-// TestBallotHasOneCandidate: neither another node, nor a later process of the same one,
-// may use a ballot again, and others have to leave a candidate its time.
+// TestBallotHasOneCandidate guards against reuse of a ballot by another node or by a later process
+// of the same node, and against candidates that interrupt each other.
 func TestBallotHasOneCandidate(t *testing.T) {
 	g := newGroup(openRecord())
 	must.Eq(t, []Kind{Promised}, kinds(g.ask(0, 2000, Prepare, "x", 5, "")))
@@ -171,20 +171,20 @@
 	must.Eq(t, 5, later[0].Message.Ballot)
 	must.Eq(t, []Kind{Denied}, kinds(g.ask(0, 2003, Prepare, "y", 6, "")))
 	must.Eq(t, []Kind{Denied}, kinds(g.ask(0, 2004, Choose, "y", 5, "b")))
-	free := 2001 + int(CandidateSpan/time.Millisecond)
+	free := 2001 + int(CandidateWindow/time.Millisecond)
 	must.Eq(t, []Kind{Promised}, kinds(g.ask(0, free, Prepare, "y", 6, "")))
 	must.Eq(t, []Kind{Denied}, kinds(g.ask(0, free, Choose, "x", 5, "b")))
 }
 
-// TestRecoveredVoterCountsUnknownLeases: a voter that has lost its memory copies the
-// others' records, and counts leases that it may have granted as held for their span.
+// TestRecoveredVoterCountsUnknownLeases guards against a recovered voter that ignores leases which
+// its previous incarnation may have granted.
 func TestRecoveredVoterCountsUnknownLeases(t *testing.T) {
 	g := newGroup(openRecord())
 	restarted := NewVoter("v0", 50, at(3000))
 	restarted.Install(at(3000), g.table)
 	must.True(t, restarted.Recovering())
-	question := &Message{Kind: Renew, From: "m", Era: 1}
-	must.Eq(t, []Kind{Unable}, kinds(restarted.Step(at(3001), "m", question)))
+	request := &Message{Kind: Renew, From: "m", Era: 1}
+	must.Eq(t, []Kind{Unable}, kinds(restarted.Step(at(3001), "m", request)))
 	one := [][]Record{{openRecord()}}
 	must.False(t, restarted.Recover(at(3300), 1, one))
 	must.True(t, restarted.Recover(at(3300), 1, append(one, one[0])))
@@ -195,9 +195,9 @@
 	must.True(t, out[0].Message.Clear)
 }
 
-// TestAnswersToAnEarlierProcessAreIgnored: they would leave out records that this one
-// does not know.
-func TestAnswersToAnEarlierProcessAreIgnored(t *testing.T) {
+// TestAnswersToPreviousIncarnationAreIgnored guards against a restarted member that accepts such an
+// answer, which omits records that it does not know.
+func TestAnswersToPreviousIncarnationAreIgnored(t *testing.T) {
 	g := newGroup(openRecord())
 	g.renew(t, 2000, 0, 1)
 	late := g.member.Renewals(at(2100))[0]
@@ -210,19 +210,19 @@
 	must.Nil(t, restarted.View("s"))
 }
 
-// TestManyRecordsComeInPages: leases are granted only once all records are known.
-func TestManyRecordsComeInPages(t *testing.T) {
+// TestRecordsArePaged guards against granting a lease before the member knows all records.
+func TestRecordsArePaged(t *testing.T) {
 	var records []Record
-	for i := range 3*briefRecords + 1 {
+	for i := range 3*memberPageRecords + 1 {
 		record := openRecord()
 		record.Service = string(rune('a'+i%26)) + string(rune('a'+i/26))
 		records = append(records, record)
 	}
 	g := newGroup(records...)
 	for i := range 2 {
-		question := g.member.Renewals(at(2000))[i]
+		request := g.member.Renewals(at(2000))[i]
 		for pages := 1; ; pages++ {
-			reply := g.voters[i].Step(at(2000), "m", &question.Message)
+			reply := g.voters[i].Step(at(2000), "m", &request.Message)
 			out, _ := g.member.Step(at(2000), groupNames[i], &reply[0].Message)
 			must.Len(t, 1, out)
 			if out[0].Message.Kind == Released {
@@ -230,7 +230,7 @@
 				break
 			}
 			must.Eq(t, i, g.member.Whole())
-			question = out[0]
+			request = out[0]
 		}
 	}
 	for _, record := range records {
@@ -238,9 +238,9 @@
 	}
 }
 
-// TestEraEndsWithWhatWasDecided: a majority of sealed voters tells all; fewer do not end
-// an era unless a majority has lost its memory, and then no tenure stays open.
-func TestEraEndsWithWhatWasDecided(t *testing.T) {
+// TestSealingKeepsDecidedRecords guards against ending a generation without a majority's records,
+// unless a majority has lost its state; then no tenure may stay open.
+func TestSealingKeepsDecidedRecords(t *testing.T) {
 	g := newGroup(openRecord())
 	g.ask(0, 2000, Prepare, "x", 2, "")
 	g.ask(1, 2000, Prepare, "x", 2, "")
@@ -248,8 +248,8 @@
 	g.ask(1, 2001, Choose, "x", 2, "b")
 	sealing := NewSealing(g.table)
 	seal := func(i int) {
-		question := sealing.Questions("k", 1, 1)
-		for _, envelope := range question {
+		requests := sealing.Questions("k", 1, 1)
+		for _, envelope := range requests {
 			if envelope.To == groupNames[i] {
 				for _, reply := range g.voters[i].Step(at(2100), "k", &envelope.Message) {
 					sealing.Take(&reply.Message)
@@ -293,8 +293,8 @@
 	must.Eq(t, 1, records[0].Promised)
 }
 
-// TestMergeDoesNotDependOnTheOrder of the voters that are asked.
-func TestMergeDoesNotDependOnTheOrder(t *testing.T) {
+// TestMergeIsOrderIndependent guards against a merge that depends on the order of the voters.
+func TestMergeIsOrderIndependent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(label string) Record {
 			ballot := rapid.Uint64Range(0, 4).Draw(t, label+" chosen")
