--- a/internal/proxy/failover/choice.go
+++ b/internal/proxy/failover/choice.go
@@ -12,49 +12,50 @@
 	Primary  bool
 	Term     uint64
 	Received position.Position
-	// Assumed is set if the server has not reported, and Received is what it was known
-	// to have applied.
+	// Assumed is set if the server has not reported; Received is then the position that it was
+	// last known to have applied.
 	Assumed bool `json:",omitempty"`
-	// Lost is set if the server has started again and its log lacks what was known to be in it
-	// before: that it leads, or what it holds, proves nothing of acknowledged commits.
+	// Lost is set if the server restarted and its log lacks entries that it was known to hold.
+	// Neither its claim to be the primary nor its position then proves anything about
+	// acknowledged commits.
 	Lost bool `json:",omitempty"`
 }
 
-// surveyed chooses the target: the server that has received most.
-func (m *Machine) surveyed(now time.Time, event Surveyed) []Effect {
+// handleSurveyed chooses the target, the server that has received most.
+func (m *Machine) handleSurveyed(now time.Time, event Surveyed) []Effect {
 	if m.phase != Surveying {
 		return nil
 	}
-	if m.agreed {
+	if m.usesTenures {
 		m.campaign.reports, m.campaign.surveyed = event.Reports, true
-		return m.decide(now)
+		return m.decideTarget(now)
 	}
 	for _, report := range event.Reports {
 		if report.Primary && !report.Lost && report.ID != m.observation.Leader {
-			m.rest(now, pauseAfterFailure)
-			return append(m.resume(), LeaderFound{ID: report.ID})
+			m.watchAgain(now, pauseAfterFailure)
+			return append(m.resumeReplicas(), LeaderFound{ID: report.ID})
 		}
 	}
-	needed, _ := m.need(now)
-	best := m.furthest(now, event.Reports)
-	if !needed || best == nil || !m.leadIsFree(event.Reports) || !m.holdsAllCommits(best, event.Reports) {
-		m.rest(now, pauseAfterFailure)
-		if m.unanswered {
+	needed, _ := m.needsChange(now)
+	best := m.mostAdvanced(now, event.Reports)
+	if !needed || best == nil || !m.primaryRoleIsFree(event.Reports) || !m.holdsAllCommits(best, event.Reports) {
+		m.watchAgain(now, pauseAfterFailure)
+		if m.orderUnanswered {
 			return nil
 		}
-		return m.resume()
+		return m.resumeReplicas()
 	}
 	m.phase = Promoting
-	return m.order(best.ID)
+	return m.orderPromotion(best.ID)
 }
 
-// leadIsFree reports whether no server can have the lead, where this node knows no
-// primary. The one that it knew may have been replaced by a server that it does not reach,
-// as on one side of a split; to promote what is left on this side, perhaps the replaced
-// primary itself, would roll back all that the new one has acknowledged. So all servers of
-// the directory have to report, none of them leading. Servers that are gone leave the
+// primaryRoleIsFree reports whether no server can be the primary. It matters if this node knows
+// no primary: the former one may have been replaced by a server that this node does not reach, as
+// in a network partition. Promoting a server on this side, possibly the replaced primary itself,
+// would roll back everything that the new primary has acknowledged. So all servers in the
+// directory have to report, and none of them as the primary. Servers that are gone leave the
 // directory, so the wait ends.
-func (m *Machine) leadIsFree(reports []Report) bool {
+func (m *Machine) primaryRoleIsFree(reports []Report) bool {
 	if m.observation.Leader != "" {
 		return true
 	}
@@ -73,32 +74,32 @@
 	return true
 }
 
-// resume ends what a survey that held the replicas began.
-func (m *Machine) resume() []Effect {
+// resumeReplicas lets replicas that a survey has held receive again.
+func (m *Machine) resumeReplicas() []Effect {
 	if m.observation.SynchronousReplicas == 0 {
 		return nil
 	}
 	return []Effect{Resume{}}
 }
 
-// furthest returns the report of the eligible server that has received most,
-// nil if there is none. Of equal ones every holder chooses the same. One that has lost its log
-// is chosen only if all have.
-func (m *Machine) furthest(now time.Time, reports []Report) *Report {
-	if best := m.furthestOf(now, reports, false); best != nil {
+// mostAdvanced returns the report of the eligible server that has received most, or nil if there
+// is none. Every holder breaks ties in the same way. A server that lost its log is chosen only if
+// all eligible servers have lost theirs.
+func (m *Machine) mostAdvanced(now time.Time, reports []Report) *Report {
+	if best := m.mostAdvancedOf(now, reports, false); best != nil {
 		return best
 	}
-	return m.furthestOf(now, reports, true)
+	return m.mostAdvancedOf(now, reports, true)
 }
 
-func (m *Machine) furthestOf(now time.Time, reports []Report, lost bool) *Report {
+func (m *Machine) mostAdvancedOf(now time.Time, reports []Report, lost bool) *Report {
 	var best *Report
 	for i := range reports {
 		report := &reports[i]
 		if report.Lost != lost {
 			continue
 		}
-		if !m.eligible(report.ID, now) || (m.bound() && report.ID != m.target) || (m.agreed && m.replacedBefore(report)) {
+		if !m.eligible(report.ID, now) || (m.mustReorderTarget() && report.ID != m.target) || (m.usesTenures && m.isReplacedPrimary(report)) {
 			continue
 		}
 		if best == nil || best.Received.Less(report.Received) || (best.Received == report.Received && m.preferred(report.ID, best.ID)) {
@@ -108,12 +109,12 @@
 	return best
 }
 
-// bound reports whether only the last target may be ordered again. Its order was
-// not answered: it may have been accepted, so that the target leads in a moment
-// and acknowledges commits that no other replica of the survey would have. Once
-// the target has left the directory it cannot.
-func (m *Machine) bound() bool {
-	if m.agreed || !m.unanswered || m.observation.SynchronousReplicas == 0 || m.target == m.observation.Leader {
+// mustReorderTarget reports whether only the last target may be ordered again. Its order was not
+// answered and may have been accepted: the target may become the primary shortly and acknowledge
+// commits that no other replica of the survey has. This ends once the target has left the
+// directory.
+func (m *Machine) mustReorderTarget() bool {
+	if m.usesTenures || !m.orderUnanswered || m.observation.SynchronousReplicas == 0 || m.target == m.observation.Leader {
 		return false
 	}
 	for _, server := range m.observation.Servers {
@@ -124,10 +125,10 @@
 	return false
 }
 
-// holdsAllCommits reports whether the best server surely holds every
-// acknowledged commit of a service with synchronous replicas. Either it holds
-// all that the primary itself holds, or so many replicas have reported, none
-// with more, that each commit's synchronous replicas are among them.
+// holdsAllCommits reports whether the best server certainly holds every acknowledged commit of a
+// service with synchronous replicas. Either it has received everything that the primary has, or
+// enough replicas have reported, none of them ahead of it, to include a synchronous replica of
+// each commit.
 func (m *Machine) holdsAllCommits(best *Report, reports []Report) bool {
 	if m.observation.SynchronousReplicas == 0 {
 		return true
@@ -158,8 +159,8 @@
 	return reported >= replicas-m.observation.SynchronousReplicas+1
 }
 
-// lastPrimary returns the server that led last, as far as it is known: the one that this node
-// believes in, or one that leads without the log that it had.
+// lastPrimary returns the last known primary, or "": the one in this node's view, or a server
+// that reports to be the primary but has lost its log.
 func (m *Machine) lastPrimary(reports []Report) string {
 	if m.observation.Leader != "" {
 		return m.observation.Leader
@@ -176,19 +177,19 @@
 	if id == m.observation.Leader && !m.openingOnly() {
 		return false
 	}
-	if at, found := m.rejected[id]; found && now.Sub(at) < rejectedLife {
+	if at, found := m.rejectedAt[id]; found && now.Sub(at) < rejectionTTL {
 		return false
 	}
 	for _, server := range m.observation.Servers {
 		if server.ID == id {
-			return !server.Leaving && !(server.Away && m.movesHome())
+			return !server.Leaving && !(server.Away && m.onlyRegionMove())
 		}
 	}
 	return false
 }
 
-// preferred reports whether one of two servers that have received as much is chosen: the one
-// to whose region all work may go, else the first by name.
+// preferred reports whether a server is chosen over another one with an equal position: the one
+// in a region where all work may go, otherwise the first by name.
 func (m *Machine) preferred(id, other string) bool {
 	if away := m.away(id); away != m.away(other) {
 		return !away
--- a/internal/proxy/failover/deputy.go
+++ b/internal/proxy/failover/deputy.go
@@ -5,25 +5,24 @@
 	"time"
 )
 
-// A deputy acts in the place of a lost holder while the store does not answer, so
-// that a primary which fails then is replaced all the same. It needs no agreement:
-// the tokens of an epoch are divided among the holder and its deputies, each of whom
-// has higher ones than those before it. So a holder that lives after all is fenced
-// off, and takes a new epoch once it can.
+// A deputy acts for a lost lease holder while the store does not answer, so that a primary that
+// fails meanwhile is still replaced. This needs no agreement: the tokens of an epoch are divided
+// into a range for the holder and one for each deputy, each above the one before. A holder that
+// is alive after all is fenced off, and takes a new epoch as soon as it can.
 const (
-	// MaxDeputies is how many deputies a lease may name.
+	// MaxDeputies limits the number of deputies in a lease.
 	MaxDeputies = 3
-	// ownTokens is the part of an epoch's tokens for the holder and for each deputy.
-	ownTokens = tokensPerEpoch / (MaxDeputies + 1)
-	// deputyConfirmation is for how long a deputy relies on other nodes' word that the
-	// primary is down: longer than the store is waited for.
-	deputyConfirmation = 2500 * time.Millisecond
-	// deputyPause is the pause after the platform rejected a deputy's order.
-	deputyPause = time.Second
+	// tokensPerRank is the number of an epoch's tokens for the holder and for each deputy.
+	tokensPerRank = tokensPerEpoch / (MaxDeputies + 1)
+	// deputyConfirmationTTL is how long a deputy relies on other nodes' statements that the
+	// primary is down. It exceeds the timeout of a store call.
+	deputyConfirmationTTL = 2500 * time.Millisecond
+	// deputyRejectionPause is the pause after the platform has rejected a deputy's order.
+	deputyRejectionPause = time.Second
 )
 
-// deputyRank returns this node's place among the deputies of the lease that it last
-// knew, from 1 on; 0 if it is none.
+// deputyRank returns this node's rank among the deputies of the last known lease, starting at 1,
+// or 0 if it is not a deputy.
 func (m *Machine) deputyRank() int {
 	for i, name := range m.lease.Deputies {
 		if name == m.node && i < MaxDeputies {
@@ -33,7 +32,7 @@
 	return 0
 }
 
-// superiors are the holder and the deputies before this node, who act first.
+// superiors returns the holder and the deputies that act before this node.
 func (m *Machine) superiors() []string {
 	if m.holder == "" {
 		return nil
@@ -45,49 +44,49 @@
 	return superiors
 }
 
-// deputize acts without the lease if this node is a deputy and others have lately
-// said that the primary is down, or if no primary is known. The replicas of a service
-// with synchronous ones must not be held without the lease.
-func (m *Machine) deputize(now time.Time) []Effect {
-	lately := !m.confirmedAt.IsZero() && now.Sub(m.confirmedAt) < deputyConfirmation
-	confirmed := m.observation.LeaderDown && m.confirmedDown == m.observation.Leader && lately
+// actAsDeputy acts without the lease if this node is a deputy, and other nodes have recently
+// confirmed that the primary is down or no primary is known. It leaves out services with
+// synchronous replicas, which must not be held without the lease.
+func (m *Machine) actAsDeputy(now time.Time) []Effect {
+	recently := !m.confirmedAt.IsZero() && now.Sub(m.confirmedAt) < deputyConfirmationTTL
+	confirmed := m.observation.LeaderDown && m.confirmedDown == m.observation.Leader && recently
 	if m.deputyRank() == 0 || m.observation.SynchronousReplicas > 0 || (m.observation.Leader != "" && !confirmed) {
-		m.rest(now, pauseAfterFailure)
+		m.watchAgain(now, pauseAfterFailure)
 		return nil
 	}
-	m.deputizing = true
-	if m.agreed {
+	m.actingAsDeputy = true
+	if m.usesTenures {
 		return m.prepare(now)
 	}
-	// The lease may be told anew before the order; its tokens are others' then.
-	m.deputyTokens = m.lease.Epoch*tokensPerEpoch + uint64(m.deputyRank())*ownTokens + m.firstDeputyToken()
+	// The lease may change before the order; its tokens then belong to other nodes.
+	m.deputyTokenBase = m.lease.Epoch*tokensPerEpoch + uint64(m.deputyRank())*tokensPerRank + m.deputyTokenOffset()
 	m.phase = Surveying
 	return []Effect{m.survey()}
 }
 
-// nextToken returns a token that was never used: a later one of the holder's part of
-// the epoch, or of a deputy's.
+// nextToken returns a token that was never used: the next one in the epoch's range of the holder
+// or deputy, or the next ballot.
 func (m *Machine) nextToken() uint64 {
-	if m.agreed {
+	if m.usesTenures {
 		// The voters promise a ballot to one candidate only.
-		floor := m.epoch
-		if m.deputizing {
-			floor = m.lease.Epoch + 1
+		baseEpoch := m.epoch
+		if m.actingAsDeputy {
+			baseEpoch = m.lease.Epoch + 1
 		}
-		m.highest = max(m.highest, m.observation.LeastBallot+floor*tokensPerEpoch) + 1
-		return m.highest
+		m.highestBallot = max(m.highestBallot, m.observation.LeastBallot+baseEpoch*tokensPerEpoch) + 1
+		return m.highestBallot
 	}
 	m.counter++
-	if m.deputizing {
-		return m.deputyTokens + m.counter
+	if m.actingAsDeputy {
+		return m.deputyTokenBase + m.counter
 	}
 	return m.epoch*tokensPerEpoch + m.counter
 }
 
-// firstDeputyToken keeps the lives of a node apart: what an earlier one used is
-// nowhere written.
-func (m *Machine) firstDeputyToken() uint64 {
+// deputyTokenOffset keeps the tokens of a node's incarnations apart, since the tokens that an
+// earlier one used are not stored anywhere.
+func (m *Machine) deputyTokenOffset() uint64 {
 	hash := fnv.New32a()
-	_, _ = hash.Write([]byte(m.life))
-	return uint64(hash.Sum32()) % (ownTokens / 2)
+	_, _ = hash.Write([]byte(m.incarnation))
+	return uint64(hash.Sum32()) % (tokensPerRank / 2)
 }
--- a/internal/proxy/failover/deputy_test.go
+++ b/internal/proxy/failover/deputy_test.go
@@ -9,31 +9,31 @@
 	"dewknot/internal/base/position"
 )
 
-// leaseOf is a lease of n1 with two deputies.
-func leaseOf(epoch uint64) Lease {
+// leaseWithDeputies returns a lease of n1 with two deputies.
+func leaseWithDeputies(epoch uint64) Lease {
 	return Lease{Holder: "n1", Epoch: epoch, Life: "x", Deputies: []string{"n2", "n3"}}
 }
 
-// deputy returns a machine of a node that knows a lease of another one.
-func deputy(node, life string, lease Lease) *Machine {
-	machine := New(Config{Node: node, Life: life})
+// newDeputy returns a machine of a node that knows the lease of another node.
+func newDeputy(node, incarnation string, lease Lease) *Machine {
+	machine := New(Config{Node: node, Life: incarnation})
 	machine.Step(at(0), LeaseKnown{Revision: 7, Lease: lease})
 	return machine
 }
 
-// storeSilent lets a machine find the primary down, hear of nobody that reaches it
-// and get no answer from the store.
-func storeSilent(machine *Machine, since int) []Effect {
-	machine.Step(at(since), Observed{down()})
-	machine.Step(at(since+500), Observed{down()})
+// observeDownWithoutStore lets a machine find the primary down, learn that no other node reaches
+// it, and get no answer from the store.
+func observeDownWithoutStore(machine *Machine, since int) []Effect {
+	machine.Step(at(since), Observed{downObservation()})
+	machine.Step(at(since+500), Observed{downObservation()})
 	machine.Step(at(since+700), Corroborated{Answers: 3})
 	return machine.Step(at(since+1200), LeaseKnown{Failed: true})
 }
 
-// orderedBy returns the token of the order that follows a deputy's survey.
-func orderedBy(t *testing.T, machine *Machine, when int) uint64 {
+// orderToken returns the token of the order that follows a deputy's survey.
+func orderToken(t *testing.T, machine *Machine, when int) uint64 {
 	t.Helper()
-	effects := machine.Step(at(when), reports(10, 11))
+	effects := machine.Step(at(when), surveyedOffsets(10, 11))
 	must.Len(t, 1, effects)
 	order, ok := effects[0].(Order)
 	must.True(t, ok)
@@ -41,124 +41,123 @@
 	return order.Token
 }
 
-// TestDeputyActsWhileTheStoreIsSilent: with the holder lost and the store silent a
-// deputy replaces the primary, under a token above the holder's.
-func TestDeputyActsWhileTheStoreIsSilent(t *testing.T) {
-	machine := deputy("n2", "l", leaseOf(3))
-	must.Eq(t, []Effect{Survey{Except: "a"}}, storeSilent(machine, 100))
-	token := orderedBy(t, machine, 1400)
-	must.Greater(t, 3*tokensPerEpoch+ownTokens, token)
-	must.Less(t, 3*tokensPerEpoch+2*ownTokens, token)
+// TestDeputyActsWhileTheStoreDoesNotAnswer guards against an outage that lasts because both the
+// lease holder and the store are lost. The deputy's token is above the holder's.
+func TestDeputyActsWhileTheStoreDoesNotAnswer(t *testing.T) {
+	machine := newDeputy("n2", "l", leaseWithDeputies(3))
+	must.Eq(t, []Effect{Survey{Except: "a"}}, observeDownWithoutStore(machine, 100))
+	token := orderToken(t, machine, 1400)
+	must.Greater(t, 3*tokensPerEpoch+tokensPerRank, token)
+	must.Less(t, 3*tokensPerEpoch+2*tokensPerRank, token)
 	must.SliceEmpty(t, machine.Step(at(1410), Ordered{Accepted}))
-	settled := healthy()
+	settled := healthyObservation()
 	settled.Leader = "c"
 	machine.Step(at(1500), Observed{settled})
 	must.Eq(t, Watching, machine.Phase())
 	must.False(t, machine.Holding())
 }
 
-// TestOnlyDeputiesAct: not a node that the lease does not name, nor one that others
-// have not confirmed, nor for replicas that must be held.
+// TestOnlyDeputiesAct guards against orders without the lease from a node that is no deputy,
+// without recent confirmation, or for a service with synchronous replicas.
 func TestOnlyDeputiesAct(t *testing.T) {
-	must.SliceEmpty(t, storeSilent(deputy("n4", "l", leaseOf(3)), 100))
+	must.SliceEmpty(t, observeDownWithoutStore(newDeputy("n4", "l", leaseWithDeputies(3)), 100))
 
-	reached := deputy("n2", "l", leaseOf(3))
-	reached.Step(at(100), Observed{down()})
-	reached.Step(at(600), Observed{down()})
+	reached := newDeputy("n2", "l", leaseWithDeputies(3))
+	reached.Step(at(100), Observed{downObservation()})
+	reached.Step(at(600), Observed{downObservation()})
 	must.Eq(t, []Effect{Detour{Server: "a"}}, reached.Step(at(700), Corroborated{Answers: 3, Reached: 1}))
 	must.SliceEmpty(t, reached.Step(at(900), LeaseKnown{Failed: true}))
 
-	synchronous := deputy("n2", "l", leaseOf(3))
-	seen := down()
-	seen.SynchronousReplicas = 1
-	synchronous.Step(at(100), Observed{seen})
-	synchronous.Step(at(600), Observed{seen})
+	synchronous := newDeputy("n2", "l", leaseWithDeputies(3))
+	observation := downObservation()
+	observation.SynchronousReplicas = 1
+	synchronous.Step(at(100), Observed{observation})
+	synchronous.Step(at(600), Observed{observation})
 	synchronous.Step(at(700), Corroborated{Answers: 3})
 	must.SliceEmpty(t, synchronous.Step(at(1200), LeaseKnown{Failed: true}))
 
-	late := deputy("n2", "l", leaseOf(3))
-	late.Step(at(100), Observed{down()})
-	late.Step(at(600), Observed{down()})
+	late := newDeputy("n2", "l", leaseWithDeputies(3))
+	late.Step(at(100), Observed{downObservation()})
+	late.Step(at(600), Observed{downObservation()})
 	late.Step(at(700), Corroborated{Answers: 3})
-	must.SliceEmpty(t, late.Step(at(700).Add(deputyConfirmation), LeaseKnown{Failed: true}))
+	must.SliceEmpty(t, late.Step(at(700).Add(deputyConfirmationTTL), LeaseKnown{Failed: true}))
 }
 
-// TestLaterDeputyAsksTheEarlier: the second deputy leaves the matter to the holder and
-// the first one, and has higher tokens than either.
-func TestLaterDeputyAsksTheEarlier(t *testing.T) {
-	first, second := deputy("n2", "l", leaseOf(3)), deputy("n3", "l", leaseOf(3))
-	second.Step(at(100), Observed{down()})
-	must.Eq(t, []Effect{Corroborate{Server: "a", Superiors: []string{"n1", "n2"}}}, second.Step(at(500), Observed{down()}))
+// TestLaterDeputyDefersToEarlierOnes guards against two deputies acting at the same time, and
+// against a second deputy whose tokens are not above the first one's.
+func TestLaterDeputyDefersToEarlierOnes(t *testing.T) {
+	first, second := newDeputy("n2", "l", leaseWithDeputies(3)), newDeputy("n3", "l", leaseWithDeputies(3))
+	second.Step(at(100), Observed{downObservation()})
+	must.Eq(t, []Effect{Corroborate{Server: "a", Superiors: []string{"n1", "n2"}}}, second.Step(at(500), Observed{downObservation()}))
 	must.SliceEmpty(t, second.Step(at(700), Corroborated{Answers: 3, HolderAnswered: true}))
-	must.SliceEmpty(t, second.Step(at(800), Observed{down()}))
-	second = deputy("n3", "l", leaseOf(3))
-	storeSilent(first, 100)
-	storeSilent(second, 100)
-	must.Greater(t, orderedBy(t, first, 1400), orderedBy(t, second, 1400))
+	must.SliceEmpty(t, second.Step(at(800), Observed{downObservation()}))
+	second = newDeputy("n3", "l", leaseWithDeputies(3))
+	observeDownWithoutStore(first, 100)
+	observeDownWithoutStore(second, 100)
+	must.Greater(t, orderToken(t, first, 1400), orderToken(t, second, 1400))
 }
 
-// TestLivesOfADeputyUseOtherTokens: a deputy that is started again does not know
-// which tokens it has used.
-func TestLivesOfADeputyUseOtherTokens(t *testing.T) {
+// TestDeputyIncarnationsUseDifferentTokens guards against reused tokens: a restarted deputy does
+// not know which ones it has used.
+func TestDeputyIncarnationsUseDifferentTokens(t *testing.T) {
 	used := map[uint64]bool{}
-	for _, life := range []string{"one", "two", "three", "four"} {
-		machine := deputy("n2", life, leaseOf(3))
-		storeSilent(machine, 100)
-		token := orderedBy(t, machine, 1400)
+	for _, incarnation := range []string{"one", "two", "three", "four"} {
+		machine := newDeputy("n2", incarnation, leaseWithDeputies(3))
+		observeDownWithoutStore(machine, 100)
+		token := orderToken(t, machine, 1400)
 		must.False(t, used[token])
 		used[token] = true
 	}
 }
 
-// TestRejectedDeputyPauses: the platform has seen a higher token, so a newer holder
-// or deputy acts.
+// TestRejectedDeputyPauses guards against a deputy that competes with a newer holder or deputy,
+// whose higher token made the platform reject its order.
 func TestRejectedDeputyPauses(t *testing.T) {
-	machine := deputy("n2", "l", leaseOf(3))
-	storeSilent(machine, 100)
-	orderedBy(t, machine, 1400)
+	machine := newDeputy("n2", "l", leaseWithDeputies(3))
+	observeDownWithoutStore(machine, 100)
+	orderToken(t, machine, 1400)
 	must.SliceEmpty(t, machine.Step(at(1410), Ordered{Rejected}))
 	must.Eq(t, Watching, machine.Phase())
-	must.SliceEmpty(t, machine.Step(at(1500), Observed{down()}))
-	must.SliceNotEmpty(t, machine.Step(at(1410).Add(deputyPause+10*time.Millisecond), Observed{down()}))
+	must.SliceEmpty(t, machine.Step(at(1500), Observed{downObservation()}))
+	must.SliceNotEmpty(t, machine.Step(at(1410).Add(deputyRejectionPause+10*time.Millisecond), Observed{downObservation()}))
 }
 
-// TestDeputyKeepsItsTokens: the store tells a newer lease, of which this node is no
-// deputy, while the deputy surveys. Its order stays among its own tokens: those of the
-// new lease belong to others.
+// TestDeputyKeepsItsTokens guards against a deputy that uses tokens of other nodes because it
+// learned of a newer lease during its survey.
 func TestDeputyKeepsItsTokens(t *testing.T) {
-	machine := deputy("n2", "l", leaseOf(3))
-	must.Eq(t, []Effect{Survey{Except: "a"}}, storeSilent(machine, 100))
+	machine := newDeputy("n2", "l", leaseWithDeputies(3))
+	must.Eq(t, []Effect{Survey{Except: "a"}}, observeDownWithoutStore(machine, 100))
 	must.SliceEmpty(t, machine.Step(at(1350), LeaseKnown{Revision: 9, Lease: Lease{Holder: "n4", Epoch: 4, Life: "y", Deputies: []string{"n5"}}}))
-	token := orderedBy(t, machine, 1400)
-	must.Greater(t, 3*tokensPerEpoch+ownTokens, token)
-	must.Less(t, 3*tokensPerEpoch+2*ownTokens, token)
+	token := orderToken(t, machine, 1400)
+	must.Greater(t, 3*tokensPerEpoch+tokensPerRank, token)
+	must.Less(t, 3*tokensPerEpoch+2*tokensPerRank, token)
 }
 
-// TestReplacedPrimaryIsNotPromotedAgain: on one side of a split a deputy reaches only the
-// old primary, which says that it does not lead any more. Another server leads on the other
-// side; to promote the old one would roll back what that has acknowledged.
+// TestReplacedPrimaryIsNotPromotedAgain guards against rolling back acknowledged commits in a
+// network partition: a deputy reaches only the replaced primary, while another server is the
+// primary on the other side.
 func TestReplacedPrimaryIsNotPromotedAgain(t *testing.T) {
-	unknown := healthy()
-	unknown.Leader = ""
+	noPrimary := healthyObservation()
+	noPrimary.Leader = ""
 	survey := func(machine *Machine) {
-		machine.Step(at(100), Observed{unknown})
-		must.Eq(t, []Effect{ReadLease{}}, machine.Step(at(4200), Observed{unknown}))
+		machine.Step(at(100), Observed{noPrimary})
+		must.Eq(t, []Effect{ReadLease{}}, machine.Step(at(4200), Observed{noPrimary}))
 		must.Eq(t, []Effect{Survey{}}, machine.Step(at(4500), LeaseKnown{Failed: true}))
 	}
-	old := Report{ID: "a", Term: 1, Received: position.Position{Term: 1, Offset: 23}}
-	some := reports(21, 21).Reports
-	for name, reported := range map[string][]Report{
-		"the old primary alone": {old}, "nobody": nil, "one is missing": {old, some[0]}, "the others": some,
-		"one is only assumed": {old, some[0], {ID: "c", Term: 1, Received: some[1].Received, Assumed: true}},
+	oldPrimary := Report{ID: "a", Term: 1, Received: position.Position{Term: 1, Offset: 23}}
+	others := surveyedOffsets(21, 21).Reports
+	for name, reports := range map[string][]Report{
+		"the old primary alone": {oldPrimary}, "nobody": nil, "one is missing": {oldPrimary, others[0]}, "the others": others,
+		"one is only assumed": {oldPrimary, others[0], {ID: "c", Term: 1, Received: others[1].Received, Assumed: true}},
 	} {
-		machine := deputy("n2", "l", leaseOf(3))
+		machine := newDeputy("n2", "l", leaseWithDeputies(3))
 		survey(machine)
-		must.SliceEmpty(t, machine.Step(at(4600), Surveyed{Reports: reported}), must.Sprint(name))
+		must.SliceEmpty(t, machine.Step(at(4600), Surveyed{Reports: reports}), must.Sprint(name))
 		must.Eq(t, Watching, machine.Phase())
 	}
-	machine := deputy("n2", "l", leaseOf(3))
+	machine := newDeputy("n2", "l", leaseWithDeputies(3))
 	survey(machine)
-	effects := machine.Step(at(4600), Surveyed{Reports: append([]Report{old}, some...)})
+	effects := machine.Step(at(4600), Surveyed{Reports: append([]Report{oldPrimary}, others...)})
 	must.Len(t, 1, effects)
 	order, ok := effects[0].(Order)
 	must.True(t, ok)
--- a/internal/proxy/failover/events.go
+++ b/internal/proxy/failover/events.go
@@ -6,30 +6,30 @@
 	"dewknot/internal/base/era"
 )
 
-// Event is something that happened to a service or to a step of the machine.
+// Event is an observation of a service, or the result of an effect.
 type Event interface{ isEvent() }
 
-// Observed is the node's regular look at the service.
+// Observed is the node's periodic observation of the service.
 type Observed struct{ Observation Observation }
 
 // Corroborated answers Corroborate.
 type Corroborated struct {
-	// Asked counts the nodes that were asked, Answers those that answered and Reached
-	// those that reach the primary.
+	// Asked is the number of nodes that were asked, Answers of those that answered, and Reached
+	// of those that reach the primary.
 	Asked   int `json:",omitempty"`
 	Answers int
 	Reached int
-	// AskedElsewhere counts the nodes of other zones that were asked, ConfirmedElsewhere
+	// AskedElsewhere is the number of nodes in other zones that were asked, ConfirmedElsewhere of
 	// those that answered and do not reach the primary.
 	AskedElsewhere     int `json:",omitempty"`
 	ConfirmedElsewhere int `json:",omitempty"`
-	// HolderAnswered is set if one of the superiors was among them.
+	// HolderAnswered is set if one of the superiors answered.
 	HolderAnswered bool
 }
 
 // LeaseKnown is the lease object as read from the store.
 type LeaseKnown struct {
-	// Failed is set if the store gave no answer.
+	// Failed is set if the store did not answer.
 	Failed bool
 	// Missing is set if there is no lease object yet.
 	Missing  bool
@@ -45,7 +45,7 @@
 	Written WriteResult = iota
 	// Superseded: another node wrote first.
 	Superseded
-	// Uncertain: the write may or may not have been done.
+	// Uncertain: the write may or may not have been applied.
 	Uncertain
 )
 
@@ -55,7 +55,7 @@
 	Revision era.Revision
 }
 
-// StoreRestored tells that the store has come back from an older copy.
+// StoreRestored reports that the store was restored from an older copy.
 type StoreRestored struct{}
 
 // Surveyed answers Survey with the reports of the servers that answered.
@@ -72,41 +72,41 @@
 func (Surveyed) isEvent()      {}
 func (Ordered) isEvent()       {}
 
-// Effect is something for the runtime to do. Each is answered by one event,
-// except LeaderFound, Resume, Detour and ReclaimLease, which may be.
+// Effect is an action for the runtime. Each is answered by one event, except LeaderFound, Resume,
+// Detour and ReclaimLease, whose answer is optional.
 type Effect interface{ isEffect() }
 
-// Corroborate asks other nodes whether they reach the primary, among them the holder
-// of the lease and the deputies who act before this node.
+// Corroborate asks other nodes whether they reach the primary, including the lease holder and the
+// deputies that act before this node.
 type Corroborate struct {
 	Server    string
 	Superiors []string
 }
 
-// Detour tells that other nodes reach a server which this node does not: work for
-// it can go through one of them.
+// Detour reports that other nodes reach a server that this node does not reach: requests for it
+// can take an indirect path through one of them.
 type Detour struct{ Server string }
 
 // ReadLease asks for the lease object; LeaseKnown answers it.
 type ReadLease struct{}
 
-// ReclaimLease asks for a lease object that this node held, soon; LeaseKnown tells it.
+// ReclaimLease asks to read a lease object that this node held, soon; LeaseKnown answers it.
 type ReclaimLease struct{}
 
-// WriteLease creates the lease object, or replaces it at a revision.
+// WriteLease creates the lease object, or replaces it if it still has the given revision.
 type WriteLease struct {
 	Create   bool
 	Revision era.Revision
 	Lease    Lease
-	// Brief is set if something urgent waits for the answer, and goes on without it.
+	// Brief is set if an urgent step waits for the answer and continues without it.
 	Brief bool `json:",omitempty"`
 }
 
-// Survey asks all servers of the service, but one, for their status.
+// Survey asks all servers of the service except one for their status.
 type Survey struct {
 	Except string
-	// Hold keeps the replicas from receiving until a promotion or Resume, so
-	// that no commit can be acknowledged which the survey does not show.
+	// Hold stops the replicas from receiving until a promotion or Resume, so that no commit can
+	// be acknowledged that the survey does not show.
 	Hold bool
 }
 
@@ -117,12 +117,12 @@
 type Order struct {
 	Target string
 	Token  uint64
-	// Within, if not zero, is within which time the order has to be sent: later, other
-	// nodes may have agreed on another one.
+	// Within, if not zero, is the time in which the order has to be sent. Later, other nodes may
+	// have agreed on another order.
 	Within time.Duration `json:",omitempty"`
 }
 
-// LeaderFound tells that a server reports to be the primary.
+// LeaderFound reports a server that claims to be the primary.
 type LeaderFound struct{ ID string }
 
 func (Corroborate) isEffect()  {}
--- a/internal/proxy/failover/lease.go
+++ b/internal/proxy/failover/lease.go
@@ -10,45 +10,46 @@
 type Lease struct {
 	Holder string `json:"holder"`
 	Epoch  uint64 `json:"epoch"`
-	// Life tells the holder's processes of the same name apart.
+	// Life identifies the incarnation of the holder's process.
 	Life string `json:"life"`
-	// Deputies are nodes that may act in the holder's place, in this order, while the
-	// store cannot be asked who the holder is.
+	// Deputies are the nodes that may act for the holder, in this order, while the store does not
+	// answer.
 	Deputies []string `json:"deputies,omitempty"`
-	// Target is the server whose promotion was last ordered, under Ballot, by agreement.
-	// It is written before the order is sent, and serves if the voters lose their memory.
+	// Target is the server whose promotion was last ordered by agreement, under Ballot. It is
+	// written before the order is sent, and used if the voters lose their state.
 	Target string `json:"target,omitempty"`
 	Ballot uint64 `json:"ballot,omitempty"`
 	// Term is the newest term known before that order.
 	Term uint64 `json:"term,omitempty"`
-	// StoreEra is the era of the store for which the lease was written. In a later one it is
-	// held by nobody until it is written again: the store has come back from an older copy,
-	// and may have lost leases of holders that followed.
+	// StoreEra is the era of the store in which the lease was written. In a later era nobody
+	// holds the lease until it is written again: the store was restored from an older copy and
+	// may have lost the leases of later holders.
 	StoreEra uint64 `json:"store_era,omitempty"`
 }
 
-// lostEpochs is more than the changes of a lease's holder that a store can lose which comes
-// back from a copy some seconds old: each takes a takeover's delay and two calls.
-const lostEpochs = 1024
+// epochGapPerEra exceeds the number of holder changes that a store can lose when it is restored
+// from a copy that is some seconds old. Each change takes a takeover delay and two store calls.
+const epochGapPerEra = 1024
 
-// nextEpoch returns the epoch that follows the lease's when it is written in an era of the
-// store. No holder whose lease the store has lost had it: two holders' tokens would collide.
+// nextEpoch returns the epoch that follows the lease's when it is written in an era of the store.
+// It is above the epochs of all leases that the store may have lost, so that the tokens of two
+// holders never collide.
 func (l *Lease) nextEpoch(storeEra uint64) uint64 {
-	return l.Epoch + 1 + lostEpochs*(max(storeEra, l.StoreEra)-l.StoreEra)
+	return l.Epoch + 1 + epochGapPerEra*(max(storeEra, l.StoreEra)-l.StoreEra)
 }
 
-// heldBy reports whether a lease, as it stands in the store at a revision, is held by a process.
-func (l *Lease) heldBy(node, life string, revision era.Revision) bool {
-	return l.Holder == node && l.Life == life && l.StoreEra >= revision.Era()
+// heldBy reports whether a process holds the lease that was read at a revision.
+func (l *Lease) heldBy(node, incarnation string, revision era.Revision) bool {
+	return l.Holder == node && l.Life == incarnation && l.StoreEra >= revision.Era()
 }
 
-// leaseKnown takes the lease as it stands in the store: at the start, or since
-// this node wants to act.
-func (m *Machine) leaseKnown(now time.Time, event LeaseKnown) []Effect {
+// handleLeaseKnown processes the lease as read from the store: at startup, or because this node
+// wants to act.
+func (m *Machine) handleLeaseKnown(now time.Time, event LeaseKnown) []Effect {
 	acting := m.phase == ReadingLease
 	if event.Failed {
 		if acting {
-			return m.deputize(now)
+			return m.actAsDeputy(now)
 		}
 		return nil
 	}
@@ -57,117 +58,116 @@
 		return nil
 	}
 	m.lease = event.Lease
-	if event.Lease.heldBy(m.node, m.life, event.Revision) {
+	if event.Lease.heldBy(m.node, m.incarnation, event.Revision) {
 		m.revision = event.Revision
-		if acting && m.fenced {
-			return m.write(event)
+		if acting && m.needsNewEpoch {
+			return m.writeNextEpoch(event)
 		}
-		m.hold(event.Lease.Epoch)
+		m.markHeld(event.Lease.Epoch)
 		if acting {
 			return m.act(now)
 		}
 		return nil
 	}
-	m.holding = false
+	m.holdsLease = false
 	m.holder = event.Lease.Holder
-	mine := event.Lease.Holder == m.node
+	sameNode := event.Lease.Holder == m.node
 	changed := event.Revision != m.revision
 	m.revision = event.Revision
-	if acting && event.Lease.Life == m.life && mine {
-		// This process's lease is of an earlier era of the store.
-		m.fenced = true
-		return m.write(event)
+	if acting && event.Lease.Life == m.incarnation && sameNode {
+		// This process wrote the lease in an earlier era of the store.
+		m.needsNewEpoch = true
+		return m.writeNextEpoch(event)
 	}
-	if acting && changed && !event.Missing && !mine {
-		// Another node has taken the lease lately and is about to act.
-		m.rest(now, 0)
-		m.needSince, m.holderLives = now, true
+	if acting && changed && !event.Missing && !sameNode {
+		// Another node took the lease recently and is about to act.
+		m.watchAgain(now, 0)
+		m.needSince, m.holderAlive = now, true
 		return nil
 	}
-	if !acting && !event.Missing && !mine {
+	if !acting && !event.Missing && !sameNode {
 		return nil
 	}
 	if !acting && m.phase != Watching {
 		return nil
 	}
-	return m.write(event)
+	return m.writeNextEpoch(event)
 }
 
-// write takes the lease under the next epoch.
-func (m *Machine) write(known LeaseKnown) []Effect {
+// writeNextEpoch takes the lease under the next epoch.
+func (m *Machine) writeNextEpoch(current LeaseKnown) []Effect {
 	m.phase = WritingLease
-	m.storeEra = known.Revision.Era()
-	m.epoch = known.Lease.nextEpoch(m.storeEra)
+	m.storeEra = current.Revision.Era()
+	m.epoch = current.Lease.nextEpoch(m.storeEra)
 	return []Effect{WriteLease{
-		Revision: known.Revision, Create: known.Missing,
+		Revision: current.Revision, Create: current.Missing,
 		Lease: m.newLease(),
 	}}
 }
 
-// storeRestored gives up a lease that is held: it may be lost. It is asked for, and written
-// again in the new era. What is under way goes on under tokens that any holder of that era
-// has higher ones than.
-func (m *Machine) storeRestored() []Effect {
-	if !m.holding {
+// handleStoreRestored gives up a held lease, which the store may have lost. The lease is read and
+// written again in the new era. Steps under way continue, since any holder of the new era has
+// higher tokens.
+func (m *Machine) handleStoreRestored() []Effect {
+	if !m.holdsLease {
 		return nil
 	}
-	m.holding = false
+	m.holdsLease = false
 	return []Effect{ReclaimLease{}}
 }
 
-// newLease is the lease as this node writes it. What was last ordered stays in it.
+// newLease returns the lease as this node writes it. It keeps the last ordered target.
 func (m *Machine) newLease() Lease {
-	return Lease{Holder: m.node, Epoch: m.epoch, Life: m.life, Target: m.lease.Target, Ballot: m.lease.Ballot, Term: m.lease.Term, StoreEra: m.storeEra}
+	return Lease{Holder: m.node, Epoch: m.epoch, Life: m.incarnation, Target: m.lease.Target, Ballot: m.lease.Ballot, Term: m.lease.Term, StoreEra: m.storeEra}
 }
 
-func (m *Machine) leaseWritten(now time.Time, event LeaseWritten) []Effect {
-	if m.campaign.recording {
-		return m.recorded(now, event)
+func (m *Machine) handleLeaseWritten(now time.Time, event LeaseWritten) []Effect {
+	if m.campaign.recordingTarget {
+		return m.handleTargetRecorded(now, event)
 	}
 	if event.Result == Written && event.Revision.Era() > m.storeEra {
-		// The store came back from an older copy before it took the lease.
-		return m.write(LeaseKnown{Revision: event.Revision, Lease: m.newLease()})
+		// The store was restored from an older copy before it accepted the lease.
+		return m.writeNextEpoch(LeaseKnown{Revision: event.Revision, Lease: m.newLease()})
 	}
 	switch event.Result {
 	case Written:
 		m.revision = event.Revision
-		anew := m.fenced
-		m.fenced = false
-		m.hold(m.epoch)
-		if m.renewed || anew {
+		newEpoch := m.needsNewEpoch
+		m.needsNewEpoch = false
+		m.markHeld(m.epoch)
+		if m.leaseRenewed || newEpoch {
 			return m.act(now)
 		}
 		m.phase = Watching
-		effects := m.observed(now)
+		effects := m.handleObserved(now)
 		if m.phase == Watching {
-			// An earlier holder may have ended between a survey and its order.
-			return append(effects, m.resume()...)
+			// An earlier holder may have stopped between a survey and its order.
+			return append(effects, m.resumeReplicas()...)
 		}
 		return effects
 	case Superseded:
-		m.holding, m.renewed = false, false
+		m.holdsLease, m.leaseRenewed = false, false
 		// Another node was faster and is about to act.
-		m.rest(now, 0)
-		m.needSince, m.holderLives = now, true
+		m.watchAgain(now, 0)
+		m.needSince, m.holderAlive = now, true
 	case Uncertain:
-		m.holding, m.renewed = false, false
-		m.rest(now, pauseAfterFailure)
+		m.holdsLease, m.leaseRenewed = false, false
+		m.watchAgain(now, pauseAfterFailure)
 	}
 	return nil
 }
 
-// hold notes that the lease is held. The counter is never reset, since a lease
-// that is held again under the same epoch must not give out a token twice.
-func (m *Machine) hold(epoch uint64) {
-	m.holding, m.epoch = true, epoch
+// markHeld records that the lease is held. The counter is never reset, since a lease that is held
+// again under the same epoch must not issue a token twice.
+func (m *Machine) markHeld(epoch uint64) {
+	m.holdsLease, m.epoch = true, epoch
 }
 
-// renew writes the lease anew before a survey of a service with synchronous
-// replicas. Another node that is about to take over then finds it changed and
-// leaves the matter to this one; if another has taken over already, this node
-// learns of it. Two nodes that change the primary at the same time would let go
-// of replicas that the other one holds.
-func (m *Machine) renew() []Effect {
-	m.phase, m.renewed = WritingLease, true
+// renewLease writes the lease again before a survey of a service with synchronous replicas.
+// Another node that is about to take over then finds it changed and defers to this one. If
+// another node has already taken over, this node learns of it. Two nodes that change the primary
+// at the same time would resume replicas that the other one holds.
+func (m *Machine) renewLease() []Effect {
+	m.phase, m.leaseRenewed = WritingLease, true
 	return []Effect{WriteLease{Revision: m.revision, Lease: m.newLease()}}
 }
--- a/internal/proxy/failover/machine.go
+++ b/internal/proxy/failover/machine.go
@@ -1,13 +1,12 @@
-// Package failover decides when a service's primary is replaced, by which
-// server and under which fencing token.
+// Package failover decides when a service's primary is replaced, by which server and under which
+// fencing token.
 //
-// Machine is a pure reducer: events with their time go in, effects come out as
-// data. One machine runs for each service on each node. Nodes agree on who acts
-// through one lease object a service in the durable store: it names the holder
-// and an epoch that rises with every change of holder. A token is made of the
-// epoch and a counter, so tokens of different holders never collide, and each
-// order for another target carries a higher one: an earlier order that is
-// carried out late is then fenced off.
+// Machine is a pure reducer: it takes events with their time and returns effects as data. Each
+// node runs one machine for each service. Nodes agree on who acts through one lease object per
+// service in the durable store. It names the holder and an epoch that increases with every change
+// of holder. A token consists of the epoch and a counter, so tokens of different holders never
+// collide. Each order for another target has a higher token, which fences off an earlier order
+// that is carried out late.
 package failover
 
 import (
@@ -16,39 +15,38 @@
 	"dewknot/internal/base/era"
 )
 
-// tokensPerEpoch is how many tokens a holder may use within one epoch.
+// tokensPerEpoch is the number of tokens in one epoch.
 const tokensPerEpoch = 1 << 20
 
-// The times of the protocol.
+// Delays and timeouts of the protocol.
 const (
-	// holderDelay is how long a node that does not hold the lease waits before it
-	// looks whether the holder lives; takeoverDelay is how long it leaves the
-	// matter to a holder that does.
-	holderDelay   = 400 * time.Millisecond
-	takeoverDelay = 2500 * time.Millisecond
-	// corroborationLife is how long other nodes' word that the primary is down
-	// holds: long enough to take the lease over in between.
-	corroborationLife = 600 * time.Millisecond
+	// holderCheckDelay is how long a node that does not hold the lease waits before it checks
+	// whether the holder is alive; takeoverDelay is how long it waits for a holder that is.
+	holderCheckDelay = 400 * time.Millisecond
+	takeoverDelay    = 2500 * time.Millisecond
+	// corroborationTTL is how long other nodes' statements that the primary is down stay valid:
+	// long enough to take over the lease in between.
+	corroborationTTL = 600 * time.Millisecond
 	// contradictedPause is the pause after other nodes have reached a primary
 	// that this node does not reach.
 	contradictedPause = time.Second
 	// leaderlessDelay is how long a service may be without a known primary
 	// before one is promoted.
 	leaderlessDelay = 1500 * time.Millisecond
-	// goneDelay is how long a primary that vanished from the directory, but
-	// still answers, is left in office.
+	// goneDelay is how long a primary that vanished from the directory, but still answers, stays
+	// the primary.
 	goneDelay = 2 * time.Second
-	// awayDelay is how long a primary stays in office where work of some route may not go: a
-	// change of the configuration reaches all nodes by then.
+	// awayDelay is how long a primary stays in a region where work of some route may not go. A
+	// configuration change reaches all nodes in this time.
 	awayDelay = 2 * time.Second
-	// settleLimit bounds the wait for a promoted server to take the lead.
-	settleLimit = 3 * time.Second
-	// unansweredLimit is the same after an order that was not answered.
-	unansweredLimit = 1200 * time.Millisecond
+	// settleTimeout bounds the wait for a promoted server to become the primary.
+	settleTimeout = 3 * time.Second
+	// unansweredTimeout is the same after an order that was not answered.
+	unansweredTimeout = 1200 * time.Millisecond
 	// pauseAfterFailure is the pause after a step that failed.
 	pauseAfterFailure = 300 * time.Millisecond
-	// rejectedLife is how long a target that the platform rejected is avoided.
-	rejectedLife = 2 * time.Second
+	// rejectionTTL is how long a target that the platform rejected is avoided.
+	rejectionTTL = 2 * time.Second
 )
 
 // Phase is what a machine is waiting for.
@@ -64,10 +62,10 @@
 	Surveying
 	Promoting
 	Settling
-	// Withdrawing: an order that was not answered is fenced off.
+	// Withdrawing: an order that was not answered is being fenced off.
 	Withdrawing
-	// Preparing, Choosing, Clearing and Opening are the steps of a campaign by
-	// agreement: see tenure.go.
+	// Preparing, Choosing, Clearing and Opening are the steps of a campaign by agreement; see
+	// tenure.go.
 	Preparing
 	Choosing
 	Clearing
@@ -79,35 +77,35 @@
 	"preparing", "choosing", "clearing", "opening",
 }
 
-// String returns the phase's name in logs.
+// String returns the phase's name for logs.
 func (p Phase) String() string { return phaseNames[p] }
 
-// Observation is what the node sees of the service.
+// Observation is what the node knows of the service.
 type Observation struct {
-	// Leader is the server believed to be the primary; "" if none is known.
+	// Leader is the primary in this node's view, or "" if none is known.
 	Leader string
-	// LeaderDown is set if the leader surely does not answer this node.
+	// LeaderDown is set if the leader certainly does not answer this node.
 	LeaderDown bool
-	// LeaderDraining is set if the leader has announced its end, LeaderGone if
-	// it has vanished from the directory.
+	// LeaderDraining is set if the leader has announced that it is leaving, LeaderGone if it has
+	// vanished from the directory.
 	LeaderDraining bool
 	LeaderGone     bool
 	// LeaderAway is set if work of some route may not go to the leader's region.
 	LeaderAway bool `json:",omitempty"`
 	// Servers are all servers of the service known to the node.
 	Servers []Server
-	// SynchronousReplicas is how many replicas hold a commit when it is acknowledged.
+	// SynchronousReplicas is the number of replicas that hold a commit when it is acknowledged.
 	SynchronousReplicas int
-	// Closed is set, by agreement, if no tenure is open; Highest is the highest ballot
+	// Closed is set if the nodes agree on tenures and none is open; Highest is the highest ballot
 	// that a voter has promised.
 	Closed  bool
 	Highest uint64
-	// LeastBallot is the lowest ballot of the voters' era.
+	// LeastBallot is the lowest ballot of the voter table's generation.
 	LeastBallot uint64
-	// Voiceless is set, by agreement, while too few voters are known to take part.
+	// Voiceless is set if the nodes agree on tenures and too few voters are known to take part.
 	Voiceless bool
-	// Degraded is set while all that this node talks to is silent: then it is the node
-	// that is at fault, and what it sees of the primary says nothing.
+	// Degraded is set while nothing that this node talks to answers. Then the node itself is at
+	// fault, and its view of the primary is no evidence.
 	Degraded bool `json:",omitempty"`
 }
 
@@ -121,61 +119,61 @@
 
 // Machine is the reducer of one service on one node.
 type Machine struct {
-	node string
-	life string
-	rank time.Duration
+	node        string
+	incarnation string
+	rankDelay   time.Duration
 
-	phase   Phase
-	holding bool
-	// lease is the lease as it was last known, holder its holder; while this node
-	// holds it, holder is the last other one.
+	phase      Phase
+	holdsLease bool
+	// lease is the last known lease and holder its holder; while this node holds the lease,
+	// holder is the last other one.
 	lease  Lease
 	holder string
-	// deputizing is set while this node acts as a deputy, whose tokens begin after
-	// deputyTokens.
-	deputizing   bool
-	deputyTokens uint64
-	// fenced is set after a rejected order: the next lease takes a new epoch, since a
+	// actingAsDeputy is set while this node acts as a deputy, whose tokens start after
+	// deputyTokenBase.
+	actingAsDeputy  bool
+	deputyTokenBase uint64
+	// needsNewEpoch is set after a rejected order: the next lease takes a new epoch, since a
 	// deputy may have used a higher token.
-	fenced bool
-	// holderLives is set once the holder has answered since the need began.
-	holderLives bool
-	// renewed is set between the renewal of the lease and the survey it is for.
-	renewed bool
+	needsNewEpoch bool
+	// holderAlive is set once the holder has answered since needSince.
+	holderAlive bool
+	// leaseRenewed is set between the renewal of the lease and the survey that follows it.
+	leaseRenewed bool
 	// confirmedDown is the primary that no other node reached at confirmedAt.
 	confirmedDown string
 	confirmedAt   time.Time
-	// detourAt is when work last began to go through another node.
-	detourAt time.Time
-	epoch    uint64
-	counter  uint64
-	revision era.Revision
-	// storeEra is the era of the store for which epoch was taken.
+	// indirectPathAt is when requests last switched to an indirect path.
+	indirectPathAt time.Time
+	epoch          uint64
+	counter        uint64
+	revision       era.Revision
+	// storeEra is the era of the store for which epoch was chosen.
 	storeEra uint64
 
 	needSince   time.Time
 	notBefore   time.Time
 	settleUntil time.Time
 	target      string
-	// token is that of the last order, repeats how often it may be given again.
-	token   uint64
-	repeats int
-	// unanswered is set while an order may still be carried out late.
-	unanswered  bool
-	rejected    map[string]time.Time
-	observation Observation
+	// token is the token of the last order, resendsLeft how often the order may be sent again.
+	token       uint64
+	resendsLeft int
+	// orderUnanswered is set while an order may still be carried out late.
+	orderUnanswered bool
+	rejectedAt      map[string]time.Time
+	observation     Observation
 
-	// agreed is set if the nodes agree on tenures, since the platform checks no fences.
-	agreed   bool
-	campaign campaign
-	// highest is the highest ballot known.
-	highest uint64
-	// openedBallot is that of the tenure which this node has opened last, at openedAt.
+	// usesTenures is set if the nodes agree on tenures, since the platform does not check fencing
+	// tokens.
+	usesTenures   bool
+	campaign      campaign
+	highestBallot uint64
+	// openedBallot is the ballot of the tenure that this node opened last, at openedAt.
 	openedBallot uint64
 	openedAt     time.Time
-	// refusedBallot is that of an order which the platform has surely refused.
-	refusedBallot uint64
-	// boundTarget is the server that campaigns are bound to since boundSince.
+	// rejectedBallot is the ballot of an order that the platform has certainly rejected.
+	rejectedBallot uint64
+	// boundTarget is the server to which campaigns are bound since boundSince.
 	boundTarget string
 	boundSince  time.Time
 }
@@ -183,85 +181,86 @@
 // Config configures a machine.
 type Config struct {
 	Node string
-	// Life is unique to the process.
+	// Life identifies the incarnation of the node's process.
 	Life string
-	// Rank delays a takeover, so that the nodes do not all try at once.
+	// Rank delays a takeover, so that not all nodes try at once.
 	Rank time.Duration
-	// Agreed makes nodes agree on tenures: see tenure.go.
+	// Agreed makes the nodes agree on tenures; see tenure.go.
 	Agreed bool
 }
 
-// New returns a machine.
+// New returns a machine that knows no lease and no primary.
 func New(cfg Config) *Machine {
-	return &Machine{node: cfg.Node, life: cfg.Life, rank: cfg.Rank, agreed: cfg.Agreed, rejected: map[string]time.Time{}}
+	return &Machine{node: cfg.Node, incarnation: cfg.Life, rankDelay: cfg.Rank, usesTenures: cfg.Agreed, rejectedAt: map[string]time.Time{}}
 }
 
 // Phase returns what the machine is waiting for.
 func (m *Machine) Phase() Phase { return m.phase }
 
 // Holding reports whether this node holds the lease, as far as it knows.
-func (m *Machine) Holding() bool { return m.holding }
+func (m *Machine) Holding() bool { return m.holdsLease }
 
-// Step takes an event and returns what to do.
+// Step processes an event and returns the effects to carry out.
 func (m *Machine) Step(now time.Time, event Event) []Effect {
 	switch event := event.(type) {
 	case Observed:
 		m.observation = event.Observation
-		return m.observed(now)
+		return m.handleObserved(now)
 	case Corroborated:
-		return m.corroborated(now, event)
+		return m.handleCorroborated(now, event)
 	case LeaseKnown:
-		return m.leaseKnown(now, event)
+		return m.handleLeaseKnown(now, event)
 	case LeaseWritten:
-		return m.leaseWritten(now, event)
+		return m.handleLeaseWritten(now, event)
 	case StoreRestored:
-		return m.storeRestored()
+		return m.handleStoreRestored()
 	case Surveyed:
-		return m.surveyed(now, event)
+		return m.handleSurveyed(now, event)
 	case Ordered:
-		return m.ordered(now, event)
+		return m.handleOrdered(now, event)
 	case Prepared:
-		return m.prepared(now, event)
+		return m.handlePrepared(now, event)
 	case SteppedDown:
-		return m.steppedDown(now, event)
+		return m.handleSteppedDown(now, event)
 	case Held:
-		return m.held(now, event)
+		return m.handleHeld(now, event)
 	case Cleared:
-		return m.cleared(now, event)
+		return m.handleCleared(now, event)
 	case Led:
-		return m.led(now, event)
+		return m.handleLed(now, event)
 	case Opened:
-		return m.opened(now, event)
+		return m.handleOpened(now, event)
 	}
 	return nil
 }
 
-// need returns whether the primary should be replaced, and after which delay.
-func (m *Machine) need(now time.Time) (bool, time.Duration) {
-	switch seen := &m.observation; {
-	case seen.Degraded:
+// needsChange reports whether the primary should be replaced or a tenure opened, and after which
+// delay.
+func (m *Machine) needsChange(now time.Time) (bool, time.Duration) {
+	switch obs := &m.observation; {
+	case obs.Degraded:
 		return false, 0
-	case m.agreed && seen.Closed && m.learning(now):
+	case m.usesTenures && obs.Closed && m.awaitingVoterReports(now):
 		return false, 0
-	case m.agreed && seen.Closed && seen.Leader == "":
-		// None was open in this process's life.
-		return len(seen.Servers) > 0, 0
-	case m.agreed && seen.Closed && !seen.LeaderDown:
-		return len(seen.Servers) > 0, closedDelay
-	case seen.Leader == "":
-		return len(seen.Servers) > 0, leaderlessDelay
-	case seen.LeaderDown, seen.LeaderDraining:
-		return m.otherServer(), 0
-	case seen.LeaderGone:
-		return m.otherServer(), goneDelay
-	case seen.LeaderAway:
-		return m.otherHome(), awayDelay
+	case m.usesTenures && obs.Closed && obs.Leader == "":
+		// No tenure has been open since this process started.
+		return len(obs.Servers) > 0, 0
+	case m.usesTenures && obs.Closed && !obs.LeaderDown:
+		return len(obs.Servers) > 0, closedDelay
+	case obs.Leader == "":
+		return len(obs.Servers) > 0, leaderlessDelay
+	case obs.LeaderDown, obs.LeaderDraining:
+		return m.hasOtherServer(), 0
+	case obs.LeaderGone:
+		return m.hasOtherServer(), goneDelay
+	case obs.LeaderAway:
+		return m.hasOtherAllowedServer(), awayDelay
 	default:
 		return false, 0
 	}
 }
 
-func (m *Machine) otherServer() bool {
+func (m *Machine) hasOtherServer() bool {
 	for _, server := range m.observation.Servers {
 		if server.ID != m.observation.Leader && !server.Leaving {
 			return true
@@ -270,8 +269,9 @@
 	return false
 }
 
-// otherHome reports whether there is a server that stays, and to whose region all work may go.
-func (m *Machine) otherHome() bool {
+// hasOtherAllowedServer reports whether another server stays and is in a region where all work
+// may go.
+func (m *Machine) hasOtherAllowedServer() bool {
 	for _, server := range m.observation.Servers {
 		if server.ID != m.observation.Leader && !server.Leaving && !server.Away {
 			return true
@@ -280,27 +280,28 @@
 	return false
 }
 
-// movesHome reports whether a primary is replaced only to lead where all work may go.
-func (m *Machine) movesHome() bool {
-	seen := &m.observation
-	return seen.LeaderAway && !seen.LeaderDown && !seen.LeaderDraining && !seen.LeaderGone
+// onlyRegionMove reports whether the primary is replaced only to move it to a region where all
+// work may go.
+func (m *Machine) onlyRegionMove() bool {
+	obs := &m.observation
+	return obs.LeaderAway && !obs.LeaderDown && !obs.LeaderDraining && !obs.LeaderGone
 }
 
-func (m *Machine) observed(now time.Time) []Effect {
-	if m.phase == Settling && !m.agreed {
+func (m *Machine) handleObserved(now time.Time) []Effect {
+	if m.phase == Settling && !m.usesTenures {
 		if m.observation.Leader == m.target && !m.observation.LeaderDown {
-			return m.settled(now)
+			return m.finishChange(now)
 		}
 		if now.Before(m.settleUntil) {
 			return nil
 		}
-		if again := m.repeat(now); again != nil {
-			return again
+		if effects := m.resend(now); effects != nil {
+			return effects
 		}
-		m.rest(now, 0)
+		m.watchAgain(now, 0)
 	}
-	if m.phase == Surveying && m.agreed && m.campaign.surveyed {
-		return m.decide(now)
+	if m.phase == Surveying && m.usesTenures && m.campaign.surveyed {
+		return m.decideTarget(now)
 	}
 	if m.phase == Clearing {
 		return m.orderIfReady(now)
@@ -308,16 +309,16 @@
 	if m.phase != Watching {
 		return nil
 	}
-	needed, delay := m.need(now)
+	needed, delay := m.needsChange(now)
 	if !needed {
-		m.needSince, m.holderLives = time.Time{}, false
+		m.needSince, m.holderAlive = time.Time{}, false
 		return m.withdraw()
 	}
 	if m.needSince.IsZero() {
 		m.needSince = now
 	}
-	if !m.holding {
-		delay += m.deference()
+	if !m.holdsLease {
+		delay += m.nonHolderDelay()
 	}
 	if now.Sub(m.needSince) < delay || now.Before(m.notBefore) || m.observation.Voiceless {
 		return nil
@@ -329,35 +330,35 @@
 	return m.act(now)
 }
 
-// mustCorroborate reports whether other nodes are asked first: whether they reach the
-// primary, or whether the holder of the lease lives.
+// mustCorroborate reports whether other nodes are asked first, either whether they reach the
+// primary or whether the lease holder is alive.
 func (m *Machine) mustCorroborate(now time.Time) bool {
-	seen := &m.observation
-	if seen.Leader == "" && !(m.agreed && seen.Closed && !m.holding) {
+	obs := &m.observation
+	if obs.Leader == "" && !(m.usesTenures && obs.Closed && !m.holdsLease) {
 		return false
 	}
-	return (seen.LeaderDown || !m.holding) && !m.justCorroborated(now)
+	return (obs.LeaderDown || !m.holdsLease) && !m.recentlyCorroborated(now)
 }
 
-// settled ends a change of the primary that has succeeded.
-func (m *Machine) settled(now time.Time) []Effect {
-	m.rest(now, 0)
+// finishChange ends a successful change of the primary.
+func (m *Machine) finishChange(now time.Time) []Effect {
+	m.watchAgain(now, 0)
 	m.needSince = time.Time{}
-	m.unanswered = false
-	return m.resume()
+	m.orderUnanswered = false
+	return m.resumeReplicas()
 }
 
 func (m *Machine) act(now time.Time) []Effect {
-	if m.holding && m.observation.SynchronousReplicas > 0 && !m.renewed {
-		return m.renew()
+	if m.holdsLease && m.observation.SynchronousReplicas > 0 && !m.leaseRenewed {
+		return m.renewLease()
 	}
-	if m.holding && m.agreed {
-		m.renewed = false
+	if m.holdsLease && m.usesTenures {
+		m.leaseRenewed = false
 		return m.prepare(now)
 	}
-	if m.holding {
+	if m.holdsLease {
 		m.phase = Surveying
-		m.renewed, m.confirmedDown = false, ""
+		m.leaseRenewed, m.confirmedDown = false, ""
 		return []Effect{m.survey()}
 	}
 	m.phase = ReadingLease
@@ -369,7 +370,7 @@
 	return Survey{Except: m.downLeader(), Hold: m.observation.SynchronousReplicas > 0}
 }
 
-// downLeader returns the leader if it is not worth asking.
+// downLeader returns the leader if it is down, so that a survey leaves it out.
 func (m *Machine) downLeader() string {
 	if m.observation.LeaderDown {
 		return m.observation.Leader
@@ -377,8 +378,9 @@
 	return ""
 }
 
-func (m *Machine) rest(now time.Time, pause time.Duration) {
+// watchAgain returns to Watching. No change is started before the pause is over.
+func (m *Machine) watchAgain(now time.Time, pause time.Duration) {
 	m.phase = Watching
-	m.deputizing = false
+	m.actingAsDeputy = false
 	m.notBefore = now.Add(pause)
 }
--- a/internal/proxy/failover/model_test.go
+++ b/internal/proxy/failover/model_test.go
@@ -11,21 +11,20 @@
 	"dewknot/internal/base/position"
 )
 
-// The model explores, exhaustively up to a depth, two nodes that both find the
-// primary down: store answers that are lost before or after they took effect,
-// orders that are carried out late, and nodes that crash and return under their
-// name. It checks what the platform demands of tokens:
+// The model explores, exhaustively up to a depth, two nodes that both find the primary down.
+// Store answers are lost before or after they take effect, orders are carried out late, and nodes
+// crash and restart under their name. It checks what the platform requires of tokens:
 //
-//   - no two holders order under one token,
-//   - no two targets are ordered under one token,
-//   - the tokens rise with every change of holder, in the order of the leases; those
-//     of a lease's deputies lie above its holder's and below the next lease's.
+//   - no two holders order under the same token,
+//   - no two targets are ordered under the same token,
+//   - tokens increase with every change of holder, in the order of the leases; the tokens of
+//     a lease's deputies are above its holder's and below the next lease's.
 //
-// Each node is the other's deputy. Once, the store may come back from a copy that lacks the
-// last lease written: its numbers are given out again, and nodes learn of the new era at any
-// later time, by an answer or otherwise.
+// Each node is the other's deputy. The store may be restored once from a copy that lacks the last
+// written lease: its revision numbers are then used again, and nodes learn of the new era at any
+// later time, from an answer or a notice.
 
-// faultyVariant is a broken mechanism that the check must notice.
+// faultyVariant is a broken mechanism that the check must detect.
 type faultyVariant uint8
 
 const (
@@ -35,19 +34,20 @@
 	tokensWithoutCounter
 	epochKept
 	deputiesWithoutRange
-	deputiesWithoutLife
-	// erasHidden: nodes don't learn that the store has come back from an older copy.
+	deputiesWithoutIncarnation
+	// erasHidden: nodes do not learn that the store was restored from an older copy.
 	erasHidden
-	// conditionsByChance: a write counts whose condition is on a number of an earlier era.
-	conditionsByChance
+	// staleConditionsAccepted: a write is accepted although its condition refers to a revision of
+	// an earlier era.
+	staleConditionsAccepted
 )
 
 type order struct {
-	holder string
-	life   string
-	target string
-	token  uint64
-	// deputy is set if the order was a deputy's, epoch is that of the lease it acted for.
+	holder      string
+	incarnation string
+	target      string
+	token       uint64
+	// deputy is set if a deputy gave the order; epoch is that of the lease for which it acted.
 	deputy bool
 	epoch  uint64
 }
@@ -56,29 +56,29 @@
 type world struct {
 	variant faultyVariant
 	now     int
-	stored
-	// era is the store's, before what it held before the last write; unaware are the nodes
-	// that have not been told of the era. restores counts how often the store came back.
-	era      uint64
-	before   stored
-	unaware  []bool
-	restores int
-	machines []*Machine
-	lives    []int
-	pending  [][]Effect
-	orders   []order
+	storeContent
+	// era is the store's era, previous the store's content before the last write. unaware marks
+	// the nodes that have not learned of the era, restores counts the restores of the store.
+	era          uint64
+	previous     storeContent
+	unaware      []bool
+	restores     int
+	machines     []*Machine
+	incarnations []int
+	pending      [][]Effect
+	orders       []order
 	// leases lists the holders in the order in which the store accepted them.
 	leases []Lease
 	crashes,
-	losses int
-	// maxRestores bounds how often the store comes back from an older copy.
+	lostAnswers int
+	// maxRestores limits the number of restores.
 	maxRestores int
-	// holderLost is set if the first node, which holds the lease, does nothing more.
+	// holderLost is set if the first node, which holds the lease, is lost.
 	holderLost bool
 }
 
-// stored is what the store holds: the lease, and the number of its last change.
-type stored struct {
+// storeContent is the lease in the store and the revision number of its last change.
+type storeContent struct {
 	revision uint64
 	missing  bool
 	lease    Lease
@@ -86,57 +86,57 @@
 
 func newWorld(variant faultyVariant) *world {
 	w := &world{
-		variant: variant, stored: stored{missing: true}, before: stored{missing: true}, unaware: make([]bool, 2),
-		machines: make([]*Machine, 2), lives: make([]int, 2), pending: make([][]Effect, 2),
+		variant: variant, storeContent: storeContent{missing: true}, previous: storeContent{missing: true}, unaware: make([]bool, 2),
+		machines: make([]*Machine, 2), incarnations: make([]int, 2), pending: make([][]Effect, 2),
 	}
 	for i := range w.machines {
-		w.start(i)
+		w.startNode(i)
 	}
 	return w
 }
 
-// newWorldWithoutHolder returns a world whose lease is held by a node that is lost.
+// newWorldWithoutHolder returns a world in which a lost node holds the lease.
 func newWorldWithoutHolder(variant faultyVariant) *world {
 	w := newWorld(variant)
 	w.holderLost = true
 	w.write(WriteLease{Create: true, Lease: Lease{Holder: "n0", Epoch: 1, Life: "n0.1"}})
-	w.start(1)
+	w.startNode(1)
 	return w
 }
 
-func (w *world) start(i int) {
-	w.lives[i]++
-	w.machines[i] = New(Config{Node: fmt.Sprintf("n%d", i), Life: fmt.Sprintf("n%d.%d", i, w.lives[i])})
+func (w *world) startNode(i int) {
+	w.incarnations[i]++
+	w.machines[i] = New(Config{Node: fmt.Sprintf("n%d", i), Life: fmt.Sprintf("n%d.%d", i, w.incarnations[i])})
 	w.pending[i] = nil
 	w.unaware[i] = false
-	w.step(i, w.known())
+	w.step(i, w.storedLease())
 }
 
-func (w *world) known() LeaseKnown {
-	known := LeaseKnown{Missing: w.missing, Revision: w.at(w.era), Lease: w.lease}
+func (w *world) storedLease() LeaseKnown {
+	known := LeaseKnown{Missing: w.missing, Revision: w.revisionIn(w.era), Lease: w.lease}
 	if w.missing {
 		known.Lease = Lease{}
 	}
 	return known
 }
 
-// at returns the revision of the store as it is told in an era.
-func (w *world) at(told uint64) era.Revision {
+// revisionIn returns the store's revision as reported in an era.
+func (w *world) revisionIn(reportedEra uint64) era.Revision {
 	if w.variant == erasHidden {
-		told = 0
+		reportedEra = 0
 	}
-	revision, err := era.New(told, w.revision)
+	revision, err := era.New(reportedEra, w.revision)
 	if err != nil {
 		panic(err)
 	}
 	return revision
 }
 
-// restore makes the store come back without what was last written.
+// restore restores the store without the last write.
 func (w *world) restore() {
 	w.restores++
 	w.era++
-	w.stored = w.before
+	w.storeContent = w.previous
 	for i := range w.unaware {
 		w.unaware[i] = true
 	}
@@ -152,11 +152,11 @@
 	copied.pending = make([][]Effect, len(w.pending))
 	for i, machine := range w.machines {
 		duplicate := *machine
-		duplicate.rejected = maps.Clone(machine.rejected)
+		duplicate.rejectedAt = maps.Clone(machine.rejectedAt)
 		copied.machines[i] = &duplicate
 		copied.pending[i] = append([]Effect(nil), w.pending[i]...)
 	}
-	copied.lives = append([]int(nil), w.lives...)
+	copied.incarnations = append([]int(nil), w.incarnations...)
 	copied.unaware = append([]bool(nil), w.unaware...)
 	copied.orders = append([]order(nil), w.orders...)
 	copied.leases = append([]Lease(nil), w.leases...)
@@ -172,7 +172,7 @@
 	if w.variant == epochKept && !w.missing {
 		effect.Lease.Epoch = w.lease.Epoch
 	}
-	w.before = w.stored
+	w.previous = w.storeContent
 	w.missing = false
 	w.revision++
 	effect.Lease.Deputies = []string{"n0"}
@@ -187,13 +187,13 @@
 func (w *world) token(machine *Machine, effect Order) uint64 {
 	switch w.variant {
 	case deputiesWithoutRange:
-		if machine.deputizing {
-			return effect.Token - uint64(machine.deputyRank())*ownTokens - machine.firstDeputyToken()
+		if machine.actingAsDeputy {
+			return effect.Token - uint64(machine.deputyRank())*tokensPerRank - machine.deputyTokenOffset()
 		}
 		return effect.Token
-	case deputiesWithoutLife:
-		if machine.deputizing {
-			return effect.Token - machine.firstDeputyToken()
+	case deputiesWithoutIncarnation:
+		if machine.actingAsDeputy {
+			return effect.Token - machine.deputyTokenOffset()
 		}
 		return effect.Token
 	case tokensWithoutEpoch:
@@ -206,12 +206,12 @@
 }
 
 const (
-	maxCrashes = 1
-	maxLosses  = 2
+	maxCrashes     = 1
+	maxLostAnswers = 2
 )
 
-// next returns all states that one event leads to.
-func (w *world) next() []*world {
+// successors returns all states that one event leads to.
+func (w *world) successors() []*world {
 	var states []*world
 	branch := func(change func(*world)) {
 		state := w.clone()
@@ -223,12 +223,12 @@
 			continue
 		}
 		if len(w.pending[i]) == 0 {
-			branch(func(s *world) { s.now += 3000; s.step(i, Observed{down()}) })
+			branch(func(s *world) { s.now += 3000; s.step(i, Observed{downObservation()}) })
 		} else {
-			w.answers(i, branch)
+			w.branchAnswers(i, branch)
 		}
 		if w.crashes < maxCrashes {
-			branch(func(s *world) { s.crashes++; s.start(i) })
+			branch(func(s *world) { s.crashes++; s.startNode(i) })
 		}
 		if w.unaware[i] && w.variant != erasHidden {
 			branch(func(s *world) { s.unaware[i] = false; s.step(i, StoreRestored{}) })
@@ -240,37 +240,42 @@
 	return states
 }
 
-// answers branches over the ways in which the oldest effect of a node ends.
-func (w *world) answers(i int, branch func(func(*world))) {
+// branchAnswers branches over the possible answers to a node's oldest effect.
+func (w *world) branchAnswers(i int, branch func(func(*world))) {
 	effect := w.pending[i][0]
-	take := func(s *world) { s.pending[i] = s.pending[i][1:] }
+	dropEffect := func(s *world) { s.pending[i] = s.pending[i][1:] }
 	switch effect := effect.(type) {
 	case Corroborate:
-		branch(func(s *world) { take(s); s.step(i, Corroborated{Answers: 2}) })
-		branch(func(s *world) { take(s); s.step(i, Corroborated{Answers: 2, Reached: 1}) })
-		branch(func(s *world) { take(s); s.step(i, Corroborated{Answers: 2, HolderAnswered: true}) })
+		branch(func(s *world) { dropEffect(s); s.step(i, Corroborated{Answers: 2}) })
+		branch(func(s *world) { dropEffect(s); s.step(i, Corroborated{Answers: 2, Reached: 1}) })
+		branch(func(s *world) { dropEffect(s); s.step(i, Corroborated{Answers: 2, HolderAnswered: true}) })
 	case ReadLease, ReclaimLease:
-		branch(func(s *world) { take(s); s.step(i, s.known()) })
-		if w.losses < maxLosses {
-			branch(func(s *world) { take(s); s.losses++; s.step(i, LeaseKnown{Failed: true}) })
+		branch(func(s *world) { dropEffect(s); s.step(i, s.storedLease()) })
+		if w.lostAnswers < maxLostAnswers {
+			branch(func(s *world) { dropEffect(s); s.lostAnswers++; s.step(i, LeaseKnown{Failed: true}) })
 		}
 	case WriteLease:
 		branch(func(s *world) {
-			take(s)
+			dropEffect(s)
 			if s.write(effect) {
 				s.step(i, s.written(effect))
 				return
 			}
 			s.step(i, LeaseWritten{Result: Superseded})
 		})
-		if w.losses < maxLosses {
-			branch(func(s *world) { take(s); s.losses++; s.write(effect); s.step(i, LeaseWritten{Result: Uncertain}) })
-			branch(func(s *world) { take(s); s.losses++; s.step(i, LeaseWritten{Result: Uncertain}) })
+		if w.lostAnswers < maxLostAnswers {
+			branch(func(s *world) {
+				dropEffect(s)
+				s.lostAnswers++
+				s.write(effect)
+				s.step(i, LeaseWritten{Result: Uncertain})
+			})
+			branch(func(s *world) { dropEffect(s); s.lostAnswers++; s.step(i, LeaseWritten{Result: Uncertain}) })
 		}
 	case Survey:
 		for offset := range uint64(2) {
 			branch(func(s *world) {
-				take(s)
+				dropEffect(s)
 				s.step(i, Surveyed{Reports: []Report{
 					{ID: "b", Received: position.Position{Term: 1, Offset: offset}},
 					{ID: "c", Received: position.Position{Term: 1, Offset: 1 - offset}},
@@ -280,42 +285,42 @@
 	case Order:
 		for _, outcome := range []PromotionOutcome{Accepted, Rejected, Unanswered} {
 			branch(func(s *world) {
-				take(s)
+				dropEffect(s)
 				machine := s.machines[i]
-				given := order{
-					holder: machine.node, life: machine.life, target: effect.Target, token: s.token(machine, effect),
-					deputy: machine.deputizing, epoch: machine.epoch,
+				ordered := order{
+					holder: machine.node, incarnation: machine.incarnation, target: effect.Target, token: s.token(machine, effect),
+					deputy: machine.actingAsDeputy, epoch: machine.epoch,
 				}
-				if machine.deputizing {
-					given.epoch = machine.lease.Epoch
+				if machine.actingAsDeputy {
+					ordered.epoch = machine.lease.Epoch
 				}
-				s.orders = append(s.orders, given)
+				s.orders = append(s.orders, ordered)
 				s.step(i, Ordered{outcome})
 			})
 		}
 	default:
-		branch(take)
+		branch(dropEffect)
 	}
 }
 
-// written is what a node is told of a lease that the store has taken.
+// written returns the answer to a write that the store has accepted.
 func (w *world) written(effect WriteLease) LeaseWritten {
 	condition := effect.Revision.Era()
 	switch {
 	case effect.Create || condition == w.era || w.variant == erasHidden:
-		return LeaseWritten{Result: Written, Revision: w.at(w.era)}
-	case w.variant == conditionsByChance:
-		return LeaseWritten{Result: Written, Revision: w.at(condition)}
+		return LeaseWritten{Result: Written, Revision: w.revisionIn(w.era)}
+	case w.variant == staleConditionsAccepted:
+		return LeaseWritten{Result: Written, Revision: w.revisionIn(condition)}
 	default:
 		return LeaseWritten{Result: Uncertain}
 	}
 }
 
-// violation returns what a state breaks, "" if nothing.
+// violation describes the violated requirement, or returns "".
 func (w *world) violation() string {
 	for i, first := range w.orders {
 		for _, second := range w.orders[i+1:] {
-			if first.token == second.token && (first.life != second.life || first.target != second.target) {
+			if first.token == second.token && (first.incarnation != second.incarnation || first.target != second.target) {
 				return fmt.Sprintf("one token for two orders: %+v and %+v", first, second)
 			}
 		}
@@ -332,7 +337,7 @@
 	return ""
 }
 
-// leaseOrder returns the place of an epoch's lease among those accepted.
+// leaseOrder returns the index of an epoch's lease among those accepted.
 func (w *world) leaseOrder(epoch uint64) int {
 	for i := len(w.leases) - 1; i >= 0; i-- {
 		if w.leases[i].Epoch == epoch {
@@ -344,32 +349,32 @@
 
 // key identifies a state, so that each is explored once.
 func (w *world) key() string {
-	text := fmt.Sprint(w.stored, w.before, w.era, w.unaware, w.lives, w.orders, w.crashes, w.losses)
+	text := fmt.Sprint(w.storeContent, w.previous, w.era, w.unaware, w.incarnations, w.orders, w.crashes, w.lostAnswers)
 	for i, machine := range w.machines {
-		text += fmt.Sprint("|", machine.phase, machine.holding, machine.deputizing, machine.fenced, machine.lease, machine.holder, machine.confirmedDown, machine.confirmedAt.Sub(at(w.now)), machine.holderLives, machine.detourAt.IsZero(), machine.needSince.IsZero(), machine.repeats, machine.token, machine.epoch, machine.counter, machine.revision, machine.storeEra, machine.target,
+		text += fmt.Sprint("|", machine.phase, machine.holdsLease, machine.actingAsDeputy, machine.needsNewEpoch, machine.lease, machine.holder, machine.confirmedDown, machine.confirmedAt.Sub(at(w.now)), machine.holderAlive, machine.indirectPathAt.IsZero(), machine.needSince.IsZero(), machine.resendsLeft, machine.token, machine.epoch, machine.counter, machine.revision, machine.storeEra, machine.target,
 			machine.settleUntil.Sub(at(w.now)), machine.notBefore.Sub(at(w.now)), w.pending[i])
 	}
 	return text
 }
 
-// explore searches breadth first and returns the first violation.
+// explore searches breadth first and returns the first violation and the number of states.
 func explore(first *world, depth int) (string, int) {
 	frontier := []*world{first}
 	seen := map[string]bool{}
 	for range depth {
-		var following []*world
+		var nextFrontier []*world
 		for _, state := range frontier {
-			for _, reached := range state.next() {
-				if broken := reached.violation(); broken != "" {
-					return broken, len(seen)
+			for _, successor := range state.successors() {
+				if violated := successor.violation(); violated != "" {
+					return violated, len(seen)
 				}
-				if key := reached.key(); !seen[key] {
+				if key := successor.key(); !seen[key] {
 					seen[key] = true
-					following = append(following, reached)
+					nextFrontier = append(nextFrontier, successor)
 				}
 			}
 		}
-		frontier = following
+		frontier = nextFrontier
 	}
 	return "", len(seen)
 }
@@ -377,56 +382,56 @@
 const modelDepth = 12
 
 func TestTokensOfAllInterleavings(t *testing.T) {
-	broken, states := explore(newWorld(intact), modelDepth)
-	must.Eq(t, "", broken)
+	violation, states := explore(newWorld(intact), modelDepth)
+	must.Eq(t, "", violation)
 	must.Greater(t, 10_000, states)
 	t.Logf("%d states", states)
 }
 
-// restoreDepth is how far the model goes where the store comes back from an older copy.
+// restoreDepth is the search depth of worlds whose store may be restored.
 const restoreDepth = 10
 
-// newRestoredWorld returns a world whose store may come back from an older copy once.
-func newRestoredWorld(variant faultyVariant) *world {
+// newRestorableWorld returns a world whose store may be restored from an older copy once.
+func newRestorableWorld(variant faultyVariant) *world {
 	w := newWorld(variant)
 	w.maxRestores = 1
 	return w
 }
 
-func TestTokensWhileTheStoreGoesBack(t *testing.T) {
-	broken, states := explore(newRestoredWorld(intact), restoreDepth)
-	must.Eq(t, "", broken)
+func TestTokensAfterTheStoreIsRestored(t *testing.T) {
+	violation, states := explore(newRestorableWorld(intact), restoreDepth)
+	must.Eq(t, "", violation)
 	must.Greater(t, 10_000, states)
 	t.Logf("%d states", states)
 }
 
-func TestErasThatDoNotCountAreNoticed(t *testing.T) {
-	broken, states := explore(newRestoredWorld(erasHidden), 13)
-	must.NotEq(t, "", broken, must.Sprintf("%d states", states))
+func TestModelDetectsHiddenStoreEras(t *testing.T) {
+	violation, states := explore(newRestorableWorld(erasHidden), 13)
+	must.NotEq(t, "", violation, must.Sprintf("%d states", states))
 }
 
-// TestConditionThatHeldByChance: a node that wants the lease is overtaken by its holder's next
-// life; the store loses that life's lease, and then takes the late write, whose condition holds
-// again.
-func TestConditionThatHeldByChance(t *testing.T) {
-	for variant, breaks := range map[faultyVariant]bool{intact: false, conditionsByChance: true} {
-		w := newRestoredWorld(variant)
+// TestStaleWriteConditionAfterRestore guards against a late write whose condition holds again by
+// coincidence. The lease holder restarts and takes the lease before another node's write arrives;
+// the store loses the restarted holder's lease and then receives the write.
+func TestStaleWriteConditionAfterRestore(t *testing.T) {
+	for variant, wantViolation := range map[faultyVariant]bool{intact: false, staleConditionsAccepted: true} {
+		w := newRestorableWorld(variant)
 		w.answerWrite(0)
 		w.answerWrite(1)
-		w.campaign(1)
-		_, wants := w.pending[1][0].(WriteLease)
-		must.True(t, wants)
-		w.start(0)
+		w.runUntilWrite(1)
+		_, isWrite := w.pending[1][0].(WriteLease)
+		must.True(t, isWrite)
+		w.startNode(0)
 		w.answerWrite(0)
-		w.order(0)
+		w.runUntilOrdered(0)
 		w.restore()
 		w.answerWrite(1)
-		w.order(1)
-		must.Eq(t, breaks, w.violation() != "", must.Sprint(w.violation()))
+		w.runUntilOrdered(1)
+		must.Eq(t, wantViolation, w.violation() != "", must.Sprint(w.violation()))
 	}
 }
 
-// answerWrite lets the store take a node's conditional write, or refuse it.
+// answerWrite lets the store accept or reject a node's conditional write.
 func (w *world) answerWrite(i int) {
 	effect := w.pending[i][0].(WriteLease)
 	w.pending[i] = w.pending[i][1:]
@@ -437,16 +442,17 @@
 	w.step(i, LeaseWritten{Result: Superseded})
 }
 
-// campaign lets a node that finds the primary down go on until it writes, or has ordered.
-func (w *world) campaign(i int) {
+// runUntilWrite runs a node that finds the primary down until it writes the lease or has given an
+// order.
+func (w *world) runUntilWrite(i int) {
 	for range 8 {
 		if len(w.pending[i]) == 0 {
 			w.now += 3000
-			w.step(i, Observed{down()})
+			w.step(i, Observed{downObservation()})
 			continue
 		}
 		effect := w.pending[i][0]
-		if _, writes := effect.(WriteLease); writes {
+		if _, isWrite := effect.(WriteLease); isWrite {
 			return
 		}
 		w.pending[i] = w.pending[i][1:]
@@ -454,49 +460,49 @@
 		case Corroborate:
 			w.step(i, Corroborated{Answers: 2})
 		case ReadLease:
-			w.step(i, w.known())
+			w.step(i, w.storedLease())
 		case Survey:
 			w.step(i, Surveyed{Reports: []Report{{ID: "b"}, {ID: "c"}}})
 		case Order:
 			machine := w.machines[i]
-			w.orders = append(w.orders, order{holder: machine.node, life: machine.life, target: effect.Target, token: effect.Token, epoch: machine.epoch})
+			w.orders = append(w.orders, order{holder: machine.node, incarnation: machine.incarnation, target: effect.Target, token: effect.Token, epoch: machine.epoch})
 			w.step(i, Ordered{Accepted})
 			return
 		}
 	}
 }
 
-// order lets a node go on until it has ordered, with any lease that it still writes.
-func (w *world) order(i int) {
-	for ordered := len(w.orders); len(w.orders) == ordered; {
-		w.campaign(i)
+// runUntilOrdered runs a node, including its writes of the lease, until it has given an order.
+func (w *world) runUntilOrdered(i int) {
+	for before := len(w.orders); len(w.orders) == before; {
+		w.runUntilWrite(i)
 		if len(w.pending[i]) == 0 {
 			continue
 		}
-		if _, writes := w.pending[i][0].(WriteLease); !writes {
+		if _, isWrite := w.pending[i][0].(WriteLease); !isWrite {
 			return
 		}
 		w.answerWrite(i)
 	}
 }
 
-// deputyDepth is deeper, since only one node moves.
+// deputyDepth is larger, since only one node acts.
 const deputyDepth = 20
 
 func TestTokensOfADeputy(t *testing.T) {
-	broken, states := explore(newWorldWithoutHolder(intact), deputyDepth)
-	must.Eq(t, "", broken)
+	violation, states := explore(newWorldWithoutHolder(intact), deputyDepth)
+	must.Eq(t, "", violation)
 	must.Greater(t, 1_000, states)
 	t.Logf("%d states", states)
 }
 
 func TestBrokenMechanismsAreNoticed(t *testing.T) {
 	for _, variant := range []faultyVariant{unconditionalWrites, tokensWithoutEpoch, tokensWithoutCounter, epochKept, deputiesWithoutRange} {
-		broken, _ := explore(newWorld(variant), 14)
-		must.NotEq(t, "", broken, must.Sprintf("variant %d", variant))
+		violation, _ := explore(newWorld(variant), 14)
+		must.NotEq(t, "", violation, must.Sprintf("variant %d", variant))
 	}
-	for _, variant := range []faultyVariant{deputiesWithoutLife} {
-		broken, _ := explore(newWorldWithoutHolder(variant), deputyDepth)
-		must.NotEq(t, "", broken, must.Sprintf("variant %d without the holder", variant))
+	for _, variant := range []faultyVariant{deputiesWithoutIncarnation} {
+		violation, _ := explore(newWorldWithoutHolder(variant), deputyDepth)
+		must.NotEq(t, "", violation, must.Sprintf("variant %d without the holder", variant))
 	}
 }
--- a/internal/proxy/failover/tenure_events.go
+++ b/internal/proxy/failover/tenure_events.go
@@ -6,7 +6,7 @@
 	"dewknot/internal/base/position"
 )
 
-// The effects and events of a change of the primary by agreement (tenure.go).
+// The effects and events of a change of the primary by agreement; see tenure.go.
 
 // Prepare asks the voters to promise a ballot, which closes the present tenure.
 type Prepare struct{ Ballot uint64 }
@@ -14,37 +14,37 @@
 // Prepared answers Prepare.
 type Prepared struct {
 	Agreed bool
-	// Highest is the highest ballot known, Busy is set if another candidate has been
-	// promised one lately.
+	// Highest is the highest known ballot. Busy is set if another candidate has recently been
+	// promised one.
 	Highest uint64
 	Busy    bool
-	// Bound is a server whose order, under BoundBallot, may be on its way; "" if none.
+	// Bound is a server whose order, under BoundBallot, may be pending, or "" if there is none.
 	Bound       string
 	BoundBallot uint64
-	// Settled is the primary of the last tenure that was chosen, if no order is on its
-	// way; "" if the voters do not remember.
+	// Settled is the primary of the last tenure that was chosen, if no order is pending. It is ""
+	// if the voters do not remember it.
 	Settled string
-	// Term is the highest term in which a primary is known to have led.
+	// Term is the highest term in which a server is known to have been the primary.
 	Term uint64
-	// LooseFor is how long an order for the server Loose may still be carried out: no other
-	// server must be ordered before.
+	// LooseFor is how long an unconfirmed order for the server Loose may still be carried out. No
+	// other server must be ordered before.
 	Loose    string
 	LooseFor time.Duration
 }
 
-// StepDown tells the primary to give up the lead, by any node that reaches it.
+// StepDown tells the primary to give up its role, through any node that reaches it.
 type StepDown struct{ Server string }
 
 // SteppedDown answers StepDown.
 type SteppedDown struct {
 	Server string
-	// Done is set if the server has confirmed that it does not lead any more; Received
-	// is then the end of its log.
+	// Done is set if the server has confirmed that it is no longer the primary; Received is then
+	// the end of its log.
 	Done     bool
 	Received position.Position
 }
 
-// Choose asks the voters to hold the target of a ballot.
+// Choose asks the voters to accept the target of a ballot.
 type Choose struct {
 	Ballot uint64
 	Target string
@@ -61,8 +61,8 @@
 // Cleared answers AwaitClear.
 type Cleared struct{ Agreed bool }
 
-// AwaitLead waits until a server that was ordered leads in a term not below Least: in an
-// older one it has been replaced before, and goes on.
+// AwaitLead waits until a server that was ordered is the primary in a term of at least Least. In
+// a lower term it is a replaced primary that still claims the role.
 type AwaitLead struct {
 	Target string
 	Least  uint64
@@ -72,16 +72,16 @@
 // Led answers AwaitLead.
 type Led struct {
 	Leads bool
-	// Term is the term in which the server leads.
+	// Term is the term in which the server is the primary.
 	Term uint64
 }
 
-// Open opens the tenure of a ballot, whose primary leads in a term.
+// Open opens the tenure of a ballot, with the term of its primary.
 type Open struct {
 	Ballot  uint64
 	Primary string
 	Term    uint64
-	// Loose is set if an order for it was not answered.
+	// Loose is set if an order for the primary was not answered.
 	Loose bool
 }
 
--- a/internal/proxy/failover/tenure_test.go
+++ b/internal/proxy/failover/tenure_test.go
@@ -9,8 +9,8 @@
 	"dewknot/internal/base/position"
 )
 
-// agreed returns a machine that holds the lease and agrees on tenures with others.
-func agreed(t *testing.T) *Machine {
+// newTenureHolder returns a machine that holds the lease and agrees on tenures with other nodes.
+func newTenureHolder(t *testing.T) *Machine {
 	t.Helper()
 	machine := New(Config{Node: "n1", Life: "x", Agreed: true})
 	machine.Step(at(0), LeaseKnown{Revision: 7, Lease: Lease{Holder: "n1", Epoch: 3, Life: "x"}})
@@ -22,10 +22,10 @@
 	return Report{ID: id, Primary: primary, Term: term, Received: position.Position{Term: term, Offset: offset}}
 }
 
-// prepareFor brings a machine to a campaign that replaces the primary a.
-func prepareFor(t *testing.T, machine *Machine, event Prepared) []Effect {
+// startCampaign brings a machine to a campaign that replaces the primary a.
+func startCampaign(t *testing.T, machine *Machine, event Prepared) []Effect {
 	t.Helper()
-	observation := down()
+	observation := downObservation()
 	observation.Highest, observation.LeastBallot = 500, 1<<40
 	machine.Step(at(1000), Observed{observation})
 	effects := machine.Step(at(1100), Corroborated{Answers: 3})
@@ -33,11 +33,12 @@
 	return machine.Step(at(1130), event)
 }
 
-// TestChangeByAgreement: the target is chosen and written down, leases are waited for,
-// then it is ordered under the ballot, and opened once it leads in a later term.
+// TestChangeByAgreement guards against steps in the wrong order: the target is chosen and
+// recorded, the leases expire, the target is ordered under the ballot, and its tenure is opened
+// in a later term.
 func TestChangeByAgreement(t *testing.T) {
-	machine := agreed(t)
-	effects := prepareFor(t, machine, Prepared{Agreed: true, Settled: "a", Term: 4})
+	machine := newTenureHolder(t)
+	effects := startCampaign(t, machine, Prepared{Agreed: true, Settled: "a", Term: 4})
 	must.Eq(t, []Effect{Survey{Except: "a"}, StepDown{Server: "a"}}, effects)
 	ballot := uint64(1<<40 + 3*tokensPerEpoch + 1)
 	effects = machine.Step(at(1160), Surveyed{Reports: []Report{report("b", false, 4, 10), report("c", false, 4, 12)}})
@@ -50,31 +51,31 @@
 	must.Eq(t, 4, written.Lease.Term)
 	must.SliceEmpty(t, machine.Step(at(1200), LeaseWritten{Result: Written, Revision: 8}))
 	effects = machine.Step(at(2300), Cleared{Agreed: true})
-	must.Eq(t, []Effect{Order{Target: "c", Token: ballot, Within: orderSpan}}, effects)
+	must.Eq(t, []Effect{Order{Target: "c", Token: ballot, Within: orderWindow}}, effects)
 	effects = machine.Step(at(2310), Ordered{Accepted})
-	must.Eq(t, []Effect{AwaitLead{Target: "c", Least: 5, Limit: settleLimit}}, effects)
+	must.Eq(t, []Effect{AwaitLead{Target: "c", Least: 5, Limit: settleTimeout}}, effects)
 	effects = machine.Step(at(2700), Led{Leads: true, Term: 5})
 	must.Eq(t, []Effect{Open{Ballot: ballot, Primary: "c", Term: 5}}, effects)
 	machine.Step(at(2730), Opened{Agreed: true})
 	must.Eq(t, Watching, machine.Phase())
 }
 
-// TestOpenedTenureIsLearned: the node that has opened a tenure does not open it again before
-// the voters can have told it so, unless something has ended it since.
-func TestOpenedTenureIsLearned(t *testing.T) {
+// TestOpenedTenureIsNotOpenedAgain guards against a node that closes the tenure it has just
+// opened, before the voters can have reported it. It does act if something has ended the tenure.
+func TestOpenedTenureIsNotOpenedAgain(t *testing.T) {
 	for name, test := range map[string]struct {
 		observe func(*Observation)
 		again   bool
 	}{
-		"the voters' word is on its way":   {func(*Observation) {}, false},
-		"the last primary is still down":   {func(o *Observation) { o.LeaderDown = true }, false},
-		"a higher ballot has closed it":    {func(o *Observation) { o.Highest = 3 << 40 }, true},
-		"the era has ended":                {func(o *Observation) { o.LeastBallot = 2 << 40 }, true},
-		"the new primary has gone as well": {func(o *Observation) { o.Leader, o.LeaderDown = "c", true }, true},
+		"the voters have not reported it yet": {func(*Observation) {}, false},
+		"the last primary is still down":      {func(o *Observation) { o.LeaderDown = true }, false},
+		"a higher ballot has closed it":       {func(o *Observation) { o.Highest = 3 << 40 }, true},
+		"a new generation has begun":          {func(o *Observation) { o.LeastBallot = 2 << 40 }, true},
+		"the new primary is down as well":     {func(o *Observation) { o.Leader, o.LeaderDown = "c", true }, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			machine := agreed(t)
-			prepareFor(t, machine, Prepared{Agreed: true, Settled: "a", Term: 4})
+			machine := newTenureHolder(t)
+			startCampaign(t, machine, Prepared{Agreed: true, Settled: "a", Term: 4})
 			machine.Step(at(1160), Surveyed{Reports: []Report{report("b", false, 4, 10), report("c", true, 5, 12)}})
 			machine.Step(at(1190), Held{Agreed: true})
 			machine.Step(at(1200), LeaseWritten{Result: Written, Revision: 8})
@@ -83,7 +84,7 @@
 			machine.Step(at(1700), Led{Leads: true, Term: 5})
 			machine.Step(at(1730), Opened{Agreed: true})
 			must.Eq(t, Watching, machine.Phase())
-			observation := down()
+			observation := downObservation()
 			observation.LeaderDown, observation.Closed = false, true
 			observation.Highest, observation.LeastBallot = machine.openedBallot, 1<<40
 			test.observe(&observation)
@@ -93,17 +94,17 @@
 			}
 			must.Eq(t, test.again, acts(at(1740)))
 			if !test.again {
-				must.True(t, acts(at(1730).Add(learnSpan)))
+				must.True(t, acts(at(1730).Add(voterReportTimeout)))
 			}
 		})
 	}
 }
 
-// TestStepDownEndsTheWait: a primary that has confirmed that it leads no more makes the
-// leases needless.
-func TestStepDownEndsTheWait(t *testing.T) {
-	machine := agreed(t)
-	prepareFor(t, machine, Prepared{Agreed: true, Settled: "a", Term: 4})
+// TestStepDownEndsTheWaitForLeases guards against a needless wait after the primary has confirmed
+// that it stepped down.
+func TestStepDownEndsTheWaitForLeases(t *testing.T) {
+	machine := newTenureHolder(t)
+	startCampaign(t, machine, Prepared{Agreed: true, Settled: "a", Term: 4})
 	machine.Step(at(1160), Surveyed{Reports: []Report{report("b", false, 4, 10), report("c", false, 4, 12)}})
 	machine.Step(at(1190), Held{Agreed: true})
 	machine.Step(at(1200), LeaseWritten{Result: Written, Revision: 8})
@@ -112,11 +113,11 @@
 	must.Eq(t, "c", effects[0].(Order).Target)
 }
 
-// TestPlannedChangeWaitsForTheRest: the target has to receive what the primary's log ends
-// with; it is asked again until it has.
-func TestPlannedChangeWaitsForTheRest(t *testing.T) {
-	machine := agreed(t)
-	observation := down()
+// TestPlannedChangeWaitsForTheTargetToCatchUp guards against a planned change that loses the end
+// of the primary's log.
+func TestPlannedChangeWaitsForTheTargetToCatchUp(t *testing.T) {
+	machine := newTenureHolder(t)
+	observation := downObservation()
 	observation.LeaderDown, observation.LeaderDraining = false, true
 	machine.Step(at(1000), Observed{observation})
 	effects := machine.Step(at(1030), Prepared{Agreed: true, Settled: "a", Term: 4})
@@ -129,15 +130,15 @@
 	must.Eq(t, "c", effects[0].(Choose).Target)
 }
 
-// TestPendingOrderBindsTheNextCandidate: nothing but its target is ordered, until late
-// orders can no longer be carried out.
+// TestPendingOrderBindsTheNextCandidate guards against two primaries: only the target of a
+// pending order is ordered, until late orders can no longer be carried out.
 func TestPendingOrderBindsTheNextCandidate(t *testing.T) {
-	machine := agreed(t)
-	prepareFor(t, machine, Prepared{Agreed: true, Bound: "b", BoundBallot: 9, Term: 4})
+	machine := newTenureHolder(t)
+	startCampaign(t, machine, Prepared{Agreed: true, Bound: "b", BoundBallot: 9, Term: 4})
 	effects := machine.Step(at(1160), Surveyed{Reports: []Report{report("b", false, 4, 10), report("c", false, 4, 12)}})
 	must.Eq(t, "b", effects[0].(Choose).Target)
 	machine.Step(at(1190), Held{Agreed: false})
-	observation := down()
+	observation := downObservation()
 	machine.Step(at(8000), Observed{observation})
 	machine.Step(at(8100), Corroborated{Answers: 3})
 	machine.Step(at(8130), Prepared{Agreed: true, Bound: "b", BoundBallot: 9, Term: 4})
@@ -145,27 +146,27 @@
 	must.Eq(t, "c", effects[0].(Choose).Target)
 }
 
-// TestOrderWithoutAnswerHoldsOthersBack: while an order for the last primary may still be
-// carried out, another server is not ordered.
-func TestOrderWithoutAnswerHoldsOthersBack(t *testing.T) {
-	machine := agreed(t)
-	prepareFor(t, machine, Prepared{Agreed: true, Settled: "a", Term: 4, Loose: "a", LooseFor: 2 * time.Second})
+// TestUnconfirmedOrderDelaysOtherTargets guards against ordering another server while an order
+// for the last primary may still be carried out.
+func TestUnconfirmedOrderDelaysOtherTargets(t *testing.T) {
+	machine := newTenureHolder(t)
+	startCampaign(t, machine, Prepared{Agreed: true, Settled: "a", Term: 4, Loose: "a", LooseFor: 2 * time.Second})
 	machine.Step(at(1160), Surveyed{Reports: []Report{report("b", false, 4, 10), report("c", false, 4, 12)}})
 	machine.Step(at(1190), Held{Agreed: true})
 	machine.Step(at(1200), LeaseWritten{Result: Written, Revision: 8})
 	must.SliceEmpty(t, machine.Step(at(1300), Cleared{Agreed: true}))
-	must.SliceEmpty(t, machine.Step(at(2000), Observed{down()}))
-	// The voters are asked again, since their word has become old.
-	effects := machine.Step(at(3200), Observed{down()})
+	must.SliceEmpty(t, machine.Step(at(2000), Observed{downObservation()}))
+	// The voters' agreement is too old by now, so they are asked again.
+	effects := machine.Step(at(3200), Observed{downObservation()})
 	must.Eq(t, "c", effects[0].(Choose).Target)
 	effects = machine.Step(at(3230), Held{Agreed: true})
 	must.Eq(t, "c", effects[0].(Order).Target)
 }
 
-// TestReplacedServerIsNotTaken: a server that leads in an older term goes on with a log
-// of its own. It is neither opened on its word nor ordered.
-func TestReplacedServerIsNotTaken(t *testing.T) {
-	machine := agreed(t)
+// TestReplacedPrimaryIsNotChosen guards against a server that claims to be the primary in an
+// older term with a diverged log. It is neither opened on its claim nor ordered.
+func TestReplacedPrimaryIsNotChosen(t *testing.T) {
+	machine := newTenureHolder(t)
 	observation := Observation{Leader: "c", Closed: true, Servers: []Server{{ID: "a"}, {ID: "b"}, {ID: "c"}}}
 	machine.Step(at(1000), Observed{observation})
 	machine.Step(at(1400), Observed{observation})
@@ -180,10 +181,11 @@
 	must.Eq(t, 5, effects[0].(Open).Term)
 }
 
-// TestLateOrderIsNotSent: a process that stood still asks the voters again.
+// TestLateOrderIsNotSent guards against a late order after the process was suspended: the voters
+// are asked again.
 func TestLateOrderIsNotSent(t *testing.T) {
-	machine := agreed(t)
-	prepareFor(t, machine, Prepared{Agreed: true, Settled: "a", Term: 4})
+	machine := newTenureHolder(t)
+	startCampaign(t, machine, Prepared{Agreed: true, Settled: "a", Term: 4})
 	machine.Step(at(1160), Surveyed{Reports: []Report{report("b", false, 4, 10), report("c", false, 4, 12)}})
 	machine.Step(at(1190), Held{Agreed: true})
 	machine.Step(at(1300), Cleared{Agreed: true})
@@ -191,10 +193,10 @@
 	must.Eq(t, "c", effects[0].(Choose).Target)
 }
 
-// TestPrimaryIsOpenedAgainByForgetfulVoters: they know the term in which the last primary
-// led, not which server it was. It leads still, and nothing is ordered.
-func TestPrimaryIsOpenedAgainByForgetfulVoters(t *testing.T) {
-	machine := agreed(t)
+// TestPrimaryIsOpenedAfterVotersLostTheirState guards against needless orders: the voters know
+// only the term of the last primary, which is still the primary.
+func TestPrimaryIsOpenedAfterVotersLostTheirState(t *testing.T) {
+	machine := newTenureHolder(t)
 	observation := Observation{Closed: true, Servers: []Server{{ID: "a"}, {ID: "b"}, {ID: "c"}}}
 	machine.Step(at(100), Observed{observation})
 	machine.Step(at(130), Prepared{Agreed: true, Term: 4})
@@ -203,9 +205,9 @@
 	must.Eq(t, []Effect{Open{Ballot: 3*tokensPerEpoch + 1, Primary: "a", Term: 4}}, effects)
 }
 
-// TestForgottenTargetIsOpened: voters without memory; the lease names the server that was
-// last ordered, and it says that it leads in a later term.
-func TestForgottenTargetIsOpened(t *testing.T) {
+// TestLeaseTargetIsOpenedAfterVotersLostTheirState guards against needless orders: the lease
+// names the last ordered server, which claims to be the primary in a later term.
+func TestLeaseTargetIsOpenedAfterVotersLostTheirState(t *testing.T) {
 	machine := New(Config{Node: "n1", Life: "x", Agreed: true})
 	machine.Step(at(0), LeaseKnown{Revision: 7, Lease: Lease{Holder: "n1", Epoch: 3, Life: "old", Target: "b", Ballot: 9, Term: 4}})
 	machine.Step(at(20), LeaseWritten{Result: Written, Revision: 8})
@@ -216,10 +218,9 @@
 	must.Eq(t, "b", effects[0].(Open).Primary)
 }
 
-// TestTargetThatLeadsIsOpenedAfterEveryLoss: the lease names the server that was last
-// ordered, and the voters remember the term in which it has led since: its own. It is
-// opened, not ordered again to wait for a later term that never comes.
-func TestTargetThatLeadsIsOpenedAfterEveryLoss(t *testing.T) {
+// TestLeaseTargetIsOpenedInItsOwnTerm guards against a wait for a later term that never comes:
+// the lease names the last ordered server, and the term that the voters remember is its own.
+func TestLeaseTargetIsOpenedInItsOwnTerm(t *testing.T) {
 	machine := New(Config{Node: "n1", Life: "x", Agreed: true})
 	machine.Step(at(0), LeaseKnown{Revision: 7, Lease: Lease{Holder: "n1", Epoch: 3, Life: "old", Target: "b", Ballot: 9, Term: 4}})
 	machine.Step(at(20), LeaseWritten{Result: Written, Revision: 8})
@@ -230,11 +231,11 @@
 	must.Eq(t, []Effect{Open{Ballot: 4*tokensPerEpoch + 1, Primary: "b", Term: 5, Loose: true}}, effects)
 }
 
-// TestPresentPrimaryThatWasOrderedIsOpened guards against an outage after voters have lost their memory
-// twice: a server that leads is ordered, since not all have reported, which changes nothing. The
-// lease that names it must not make the next holder wait for a later term, which never comes.
+// TestPresentPrimaryThatWasOrderedIsOpened guards against an outage after the voters have lost
+// their state twice. The present primary was ordered without effect, since not all servers had
+// reported; the next holder must not wait for a later term.
 func TestPresentPrimaryThatWasOrderedIsOpened(t *testing.T) {
-	machine := agreed(t)
+	machine := newTenureHolder(t)
 	observation := Observation{Closed: true, Servers: []Server{{ID: "a"}, {ID: "b"}, {ID: "c"}}}
 	reports := []Report{report("a", true, 1, 315), report("b", false, 1, 315)}
 	machine.Step(at(100), Observed{observation})
@@ -256,12 +257,13 @@
 	must.Eq(t, 1, opened.Term)
 }
 
-// TestOrderOfAServerThatMayLeadKeepsItsTerm: a server that may lead already is ordered
-// again; the lease goes on naming the term before its first order.
+// TestOrderOfAServerThatMayLeadKeepsItsTerm guards against a lease with too high a term. A server
+// that may be the primary already is ordered again; the lease keeps the term before its first
+// order.
 func TestOrderOfAServerThatMayLeadKeepsItsTerm(t *testing.T) {
 	machine := New(Config{Node: "n1", Life: "x", Agreed: true})
 	machine.Step(at(0), LeaseKnown{Revision: 7, Lease: Lease{Holder: "n1", Epoch: 3, Life: "x", Target: "b", Ballot: 9, Term: 4}})
-	prepareFor(t, machine, Prepared{Agreed: true, Settled: "a", Term: 4})
+	startCampaign(t, machine, Prepared{Agreed: true, Settled: "a", Term: 4})
 	machine.Step(at(1160), Surveyed{Reports: []Report{report("b", true, 5, 12), report("c", false, 5, 10)}})
 	effects := machine.Step(at(1190), Held{Agreed: true})
 	must.Eq(t, 4, effects[len(effects)-1].(WriteLease).Lease.Term)
--- a/internal/proxy/failover/terms.go
+++ b/internal/proxy/failover/terms.go
@@ -1,15 +1,15 @@
 package failover
 
-// What the servers report of themselves, against what is known of earlier primaries.
+// Checks of the servers' reports against what is known of earlier primaries.
 
-// claims reports whether a server says that it leads, in a term in which no other one is
-// known to have led, and none has reported a newer term.
-func (m *Machine) claims(id string) bool {
+// claimsPrimaryRole reports whether a server claims to be the primary, in a term in which no
+// other server is known to have been, and no server has reported a newer term.
+func (m *Machine) claimsPrimaryRole(id string) bool {
 	report := m.reportOf(id)
-	return report != nil && report.Primary && !report.Lost && report.Term == m.newestTerm() && report.Term >= m.leastTerm(id)
+	return report != nil && report.Primary && !report.Lost && report.Term == m.newestTerm() && report.Term >= m.minTerm(id)
 }
 
-// reportOf returns a server's own report, nil if it has not reported.
+// reportOf returns a server's own report, or nil if it has not reported.
 func (m *Machine) reportOf(id string) *Report {
 	for i := range m.campaign.reports {
 		if report := &m.campaign.reports[i]; report.ID == id && !report.Assumed {
@@ -30,28 +30,28 @@
 	return newest
 }
 
-// leastTerm returns the lowest term in which a server may be the primary now: the
-// newest one known for the primary of the last tenure, a later one for others. If the
-// voters do not remember who that was, it may be any server but one that was ordered.
-func (m *Machine) leastTerm(id string) uint64 {
+// minTerm returns the lowest term in which a server can be the primary now: the newest known term
+// for the primary of the last tenure, a later one for other servers. If the voters do not
+// remember the last primary, it may be any server that was not ordered.
+func (m *Machine) minTerm(id string) uint64 {
 	c := &m.campaign
 	switch {
-	case id == c.bound:
-		return c.boundLeast
-	case id == c.settled, c.settled == "":
-		return c.term
+	case id == c.boundTarget:
+		return c.boundMinTerm
+	case id == c.settledPrimary, c.settledPrimary == "":
+		return c.highestTerm
 	default:
-		return c.term + 1
+		return c.highestTerm + 1
 	}
 }
 
-// replacedBefore reports whether a server says that it leads though another one has led
-// since: it goes on with a log of its own.
-func (m *Machine) replacedBefore(report *Report) bool {
-	return report.Primary && (report.Term < m.newestTerm() || report.Term < m.leastTerm(report.ID))
+// isReplacedPrimary reports whether a server claims to be the primary although another one has
+// been since. Its log has diverged.
+func (m *Machine) isReplacedPrimary(report *Report) bool {
+	return report.Primary && (report.Term < m.newestTerm() || report.Term < m.minTerm(report.ID))
 }
 
-// allReported reports whether each server of the service has reported itself.
+// allReported reports whether every server of the service has sent its own report.
 func (m *Machine) allReported() bool {
 	for _, server := range m.observation.Servers {
 		if m.reportOf(server.ID) == nil {
--- a/internal/proxy/failover/witness.go
+++ b/internal/proxy/failover/witness.go
@@ -2,42 +2,39 @@
 
 import "time"
 
-// rankShare is the part of its rank by which a node waits before it looks
-// whether the holder lives.
-const rankShare = 4
+// rankDelayDivisor shortens the rank delay for the check whether the holder is alive.
+const rankDelayDivisor = 4
 
-// deference is how long a node that does not hold the lease leaves a need to
-// the holder.
-func (m *Machine) deference() time.Duration {
-	if m.holderLives || (m.observation.Leader == "" && !(m.agreed && m.observation.Closed)) {
-		return takeoverDelay + m.rank
+// nonHolderDelay is how long a node that does not hold the lease leaves a change to the holder.
+func (m *Machine) nonHolderDelay() time.Duration {
+	if m.holderAlive || (m.observation.Leader == "" && !(m.usesTenures && m.observation.Closed)) {
+		return takeoverDelay + m.rankDelay
 	}
-	return holderDelay + m.rank/rankShare
+	return holderCheckDelay + m.rankDelay/rankDelayDivisor
 }
 
-// detourTrial is how long a way through another node is given before only a
-// majority that reaches the primary keeps it.
-const detourTrial = 3 * time.Second
+// indirectPathTrial is the time after a switch to an indirect path in which a primary that still
+// does not answer stays only if a majority reaches it.
+const indirectPathTrial = 3 * time.Second
 
-// justCorroborated reports whether other nodes have just said that the primary is
-// down, so that a node which has taken the lease over since need not ask again.
-func (m *Machine) justCorroborated(now time.Time) bool {
-	return m.holding && m.observation.LeaderDown && m.confirmedDown == m.observation.Leader &&
-		!m.confirmedAt.IsZero() && now.Sub(m.confirmedAt) < corroborationLife
+// recentlyCorroborated reports whether other nodes have confirmed recently that the primary is
+// down, so that a node that has taken over the lease since need not ask again.
+func (m *Machine) recentlyCorroborated(now time.Time) bool {
+	return m.holdsLease && m.observation.LeaderDown && m.confirmedDown == m.observation.Leader &&
+		!m.confirmedAt.IsZero() && now.Sub(m.confirmedAt) < corroborationTTL
 }
 
-// confirmationsNeeded is how many other nodes have to say that they do not reach a
-// primary before it is replaced. One might have the same sick link as this node.
+// confirmationsNeeded is how many other nodes have to report that they do not reach a primary
+// before it is replaced. A single one may have the same degraded link as this node.
 const confirmationsNeeded = 2
 
-// confirmed reports whether there is evidence, besides this node's own, that the
-// primary is down. Silence of other nodes is none: it is what a node with a sick link
-// of its own hears. So enough of those that were asked have to confirm, one of another
-// zone among them if there are any, since a zone may be cut off as a whole. If too few
-// answer, the store's word does in their place: the primary, which keeps its entry in
-// the directory alive, has vanished from there. A primary that has announced its end
-// needs no other witness, and a fleet of one node has none.
-func (m *Machine) confirmed(event Corroborated) bool {
+// independentlyConfirmed reports whether there is evidence besides this node's own that the
+// primary is down. Missing answers are no evidence, since a node whose own link is degraded gets
+// none either. So enough of the asked nodes have to confirm, among them one of another zone if
+// any was asked, since a whole zone may be partitioned. If too few answer, the directory is
+// evidence enough: a primary that no longer renews its entry vanishes from it. A primary that has
+// announced that it is leaving needs no further evidence, and a node without peers can get none.
+func (m *Machine) independentlyConfirmed(event Corroborated) bool {
 	if m.observation.LeaderDraining || m.observation.LeaderGone {
 		return true
 	}
@@ -45,36 +42,36 @@
 	return enough && event.ConfirmedElsewhere >= min(1, event.AskedElsewhere)
 }
 
-// corroborated weighs what other nodes see. A primary that another node reaches
-// lives, and replacing it would lose what it has not replicated: its work goes
-// through that node. If that has been tried and the primary is still silent, it
-// stays only while most nodes reach it. One that nobody says to be down stays too.
-func (m *Machine) corroborated(now time.Time, event Corroborated) []Effect {
+// handleCorroborated evaluates the answers of other nodes. A primary that another node reaches is
+// alive, and replacing it would lose what it has not replicated: its requests take an indirect
+// path through that node. If that has been tried and the primary still does not answer, it stays
+// only while most nodes reach it. A primary that too few nodes report as down stays, too.
+func (m *Machine) handleCorroborated(now time.Time, event Corroborated) []Effect {
 	if m.phase != Corroborating {
 		return nil
 	}
 	m.phase = Watching
-	needed, _ := m.need(now)
+	needed, _ := m.needsChange(now)
 	if !needed {
 		return nil
 	}
-	tried := now.Sub(m.detourAt) < detourTrial
-	mostReach := 2*event.Reached > event.Answers
-	if m.observation.LeaderDown && event.Reached > 0 && (!tried || mostReach) {
-		m.rest(now, contradictedPause)
-		m.needSince, m.holderLives, m.detourAt = time.Time{}, false, now
+	indirectPathTried := now.Sub(m.indirectPathAt) < indirectPathTrial
+	majorityReaches := 2*event.Reached > event.Answers
+	if m.observation.LeaderDown && event.Reached > 0 && (!indirectPathTried || majorityReaches) {
+		m.watchAgain(now, contradictedPause)
+		m.needSince, m.holderAlive, m.indirectPathAt = time.Time{}, false, now
 		return []Effect{Detour{Server: m.observation.Leader}}
 	}
-	if m.observation.LeaderDown && !m.confirmed(event) {
-		m.rest(now, pauseAfterFailure)
+	if m.observation.LeaderDown && !m.independentlyConfirmed(event) {
+		m.watchAgain(now, pauseAfterFailure)
 		return nil
 	}
 	if event.Reached == 0 && m.observation.LeaderDown {
 		m.confirmedDown, m.confirmedAt = m.observation.Leader, now
 	}
-	if m.holding || !event.HolderAnswered || m.holderLives {
+	if m.holdsLease || !event.HolderAnswered || m.holderAlive {
 		return m.act(now)
 	}
-	m.holderLives = true
+	m.holderAlive = true
 	return nil
 }
