--- a/internal/proxy/leadership/outage.go
+++ b/internal/proxy/leadership/outage.go
@@ -6,31 +6,31 @@
 )
 
 const (
-	// firstOutage is how long the first change of a primary is expected to take: 1 s for
-	// the servers' own part, the rest for finding it out, asking and surveying.
-	firstOutage = 2 * time.Second
-	// nearEnd is the part of an outage that is left if its end shows already.
-	nearEnd = 4
-	// outageWeight is the weight of one more outage in the usual length.
+	// initialEstimate is the expected length of the first outage: 1 s for the servers' own part,
+	// the rest for detection, corroboration and the survey.
+	initialEstimate = 2 * time.Second
+	// nearEndDivisor divides the usual length if the primary already answers this node.
+	nearEndDivisor = 4
+	// outageWeight is the weight of the latest outage in the moving average.
 	outageWeight = 0.3
 )
 
-// Outage tells how long a service is usually without a primary that answers. It is safe
-// for concurrent use.
+// Outage estimates how long a service is without a primary that answers, from the length of
+// earlier outages. It is safe for concurrent use.
 type Outage struct {
 	mu    sync.Mutex
 	since time.Time
 	usual time.Duration
 }
 
-// Note takes a look at the service: whether it has a primary that answers.
-func (o *Outage) Note(now time.Time, served bool) {
+// Note records whether the service has a primary that answers.
+func (o *Outage) Note(now time.Time, available bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	switch {
-	case !served && o.since.IsZero():
+	case !available && o.since.IsZero():
 		o.since = now
-	case served && !o.since.IsZero():
+	case available && !o.since.IsZero():
 		length := now.Sub(o.since)
 		if o.usual == 0 {
 			o.usual = length
@@ -40,31 +40,31 @@
 	}
 }
 
-// Left returns how long the present outage is expected to go on: what is left of the
-// usual length, and after that half of what it has lasted so far.
+// Left returns how long the present outage is expected to continue: the rest of the usual length,
+// and after that half of the time it has lasted.
 func (o *Outage) Left(now time.Time) time.Duration {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	usual := o.usual
 	if usual == 0 {
-		usual = firstOutage
+		usual = initialEstimate
 	}
 	if o.since.IsZero() {
-		// The primary answers this node, and yet the work found none: a change is near its end.
-		return usual / nearEnd
+		// The primary answers this node although the request found none: a change is almost done.
+		return usual / nearEndDivisor
 	}
-	lasted := now.Sub(o.since)
-	if lasted < usual {
-		return usual - lasted
+	elapsed := now.Sub(o.since)
+	if elapsed < usual {
+		return usual - elapsed
 	}
-	return lasted / 2
+	return elapsed / 2
 }
 
 // Overdue reports whether the present outage has lasted longer than usual, and how long it is
-// expected to go on.
+// expected to continue.
 func (o *Outage) Overdue(now time.Time) (left time.Duration, overdue bool) {
 	left = o.Left(now)
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return left, !o.since.IsZero() && now.Sub(o.since) >= max(o.usual, firstOutage)
+	return left, !o.since.IsZero() && now.Sub(o.since) >= max(o.usual, initialEstimate)
 }
--- a/internal/proxy/leadership/primary_view.go
+++ b/internal/proxy/leadership/primary_view.go
@@ -1,8 +1,8 @@
-// Package leadership holds what a node believes of a service's primary.
+// Package leadership holds a node's view of a service's primary, and estimates how long the
+// service is without one.
 //
-// The belief only steers requests; that a server is the primary is proved by
-// the server itself, each time it accepts a transaction that only a primary
-// accepts.
+// The view only routes requests. The server itself proves that it is the primary, each time it
+// accepts a transaction that only a primary accepts.
 package leadership
 
 import (
@@ -12,27 +12,27 @@
 	"dewknot/internal/base/era"
 )
 
-// refutationLife is how long a server that denied being the primary is not
-// asked again without new information.
-const refutationLife = 250 * time.Millisecond
+// denialTTL is how long a server that denied being the primary is not asked again without new
+// information.
+const denialTTL = 250 * time.Millisecond
 
-// Belief is what a node believes of one service. It is safe for concurrent use.
+// Belief is a node's view of one service's primary. It is safe for concurrent use.
 type Belief struct {
 	mutex  sync.Mutex
 	leader string
 	term   uint64
-	// announced is the directory's revision of the newest announcement.
-	announced era.Revision
-	refuted   map[string]time.Time
-	changed   chan struct{}
+	// announcedRevision is the directory's revision of the newest announcement.
+	announcedRevision era.Revision
+	deniedAt          map[string]time.Time
+	changed           chan struct{}
 }
 
-// NewBelief returns a belief in no primary.
+// NewBelief returns a view without a primary.
 func NewBelief() *Belief {
-	return &Belief{refuted: map[string]time.Time{}, changed: make(chan struct{})}
+	return &Belief{deniedAt: map[string]time.Time{}, changed: make(chan struct{})}
 }
 
-// Leader returns the server believed to be the primary, "" if none.
+// Leader returns the primary in this node's view, or "" if none is known.
 func (b *Belief) Leader() string {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -46,27 +46,28 @@
 	return b.term
 }
 
-// Changed returns the channel that is closed at the next change of the belief.
+// Changed returns a channel that is closed when the primary next changes.
 func (b *Belief) Changed() <-chan struct{} {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.changed
 }
 
-// Announce takes the word of the directory, at a revision, that a server is the
-// primary. It reports whether the belief changed.
+// Announce applies an announcement of the directory, at a revision, that a server is the primary.
+// It reports whether the primary changed.
 func (b *Belief) Announce(id string, revision era.Revision) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	if revision <= b.announced {
+	if revision <= b.announcedRevision {
 		return false
 	}
-	b.announced = revision
-	delete(b.refuted, id)
+	b.announcedRevision = revision
+	delete(b.deniedAt, id)
 	return b.set(id)
 }
 
-// Confirm takes a server's own proof that it is the primary.
+// Confirm records a server's own proof that it is the primary in a term. It reports whether the
+// primary changed.
 func (b *Belief) Confirm(id string, term uint64) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -74,46 +75,47 @@
 		return false
 	}
 	b.term = term
-	delete(b.refuted, id)
+	delete(b.deniedAt, id)
 	return b.set(id)
 }
 
-// Refute takes a server's own word that it is not the primary.
+// Refute records a server's own statement that it is not the primary, and clears the primary if
+// it was that server. It reports whether the primary changed.
 func (b *Belief) Refute(id string, now time.Time) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.refuted[id] = now
+	b.deniedAt[id] = now
 	if b.leader != id {
 		return false
 	}
 	return b.set("")
 }
 
-// Deny takes a server's own word that it is not the primary, where the nodes agree on
-// who is: the belief stays. It reports whether that is news.
+// Deny records a server's own statement that it is not the primary, where the nodes agree on the
+// primary: the view does not change. It reports whether the statement is new.
 func (b *Belief) Deny(id string, now time.Time) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	at, found := b.refuted[id]
-	b.refuted[id] = now
-	return !found || now.Sub(at) >= refutationLife
+	at, found := b.deniedAt[id]
+	b.deniedAt[id] = now
+	return !found || now.Sub(at) >= denialTTL
 }
 
-// Follow takes the server on which the nodes agree; "" if there is none at the moment.
-// It reports whether the belief changed.
+// Follow sets the primary on which the nodes agree, or "" if there is none at the moment. It
+// reports whether the primary changed.
 func (b *Belief) Follow(id string) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	delete(b.refuted, id)
+	delete(b.deniedAt, id)
 	return b.set(id)
 }
 
-// Refuted reports whether a server has lately denied being the primary.
+// Refuted reports whether a server has recently denied being the primary.
 func (b *Belief) Refuted(id string, now time.Time) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	at, found := b.refuted[id]
-	return found && now.Sub(at) < refutationLife
+	at, found := b.deniedAt[id]
+	return found && now.Sub(at) < denialTTL
 }
 
 func (b *Belief) set(id string) bool {
