--- a/internal/proxy/command/command.go
+++ b/internal/proxy/command/command.go
@@ -1,4 +1,4 @@
-// Package command is the protocol-neutral form of what callers ask.
+// Package command defines the protocol-neutral form of callers' requests.
 package command
 
 // Kind is the kind of a command.
@@ -6,7 +6,7 @@
 
 // The kinds of commands.
 const (
-	// Unknown commands cannot be understood.
+	// Unknown is the kind of a command that cannot be parsed.
 	Unknown Kind = iota
 	Begin
 	BeginReadOnly
@@ -20,7 +20,7 @@
 	Deallocate
 )
 
-// String returns the kind's name in logs.
+// String returns the kind's name for logs.
 func (k Kind) String() string { return kindNames[k] }
 
 var kindNames = [...]string{
@@ -31,25 +31,25 @@
 // Command is one request of a caller.
 type Command struct {
 	Kind Kind
-	// RequestID is the caller's name for the request.
+	// RequestID is the caller's identifier of the request.
 	RequestID string
 	// Text is the command as the caller wrote it.
 	Text string
-	// Name is the session value's or the prepared statement's name.
+	// Name is the name of the session value or of the prepared statement.
 	Name string
-	// Value is the session value, or the arguments of an execution.
+	// Value is the session value, or the arguments of Execute.
 	Value string
-	// Statement is what a Prepare names.
+	// Statement is the statement that Prepare defines.
 	Statement PreparedStatement
 }
 
-// PreparedStatement is what a prepared name stands for.
+// PreparedStatement is the definition of a prepared statement.
 type PreparedStatement struct {
 	Writes bool
 	Shape  string
 }
 
-// Statement is a read or write that a server is to run.
+// Statement is a read or write to run on a server.
 type Statement struct {
 	RequestID string
 	Writes    bool
@@ -57,7 +57,7 @@
 	Text string
 	// Prepared is set for the execution of a prepared statement.
 	Prepared bool
-	// Definition and Arguments belong to an execution.
+	// Definition and Arguments are set for the execution of a prepared statement.
 	Definition PreparedStatement
 	Arguments  string
 }
