--- a/internal/proxy/upstream/batch.go
+++ b/internal/proxy/upstream/batch.go
@@ -8,17 +8,17 @@
 	"dewknot/internal/proxy/command"
 )
 
-// Batch is the outcome of a run of operations.
+// Batch is the result of running several operations.
 type Batch struct {
 	// SentAt is a time before the first byte was sent.
 	SentAt  time.Time
 	Results []Result
-	// Err is set if not all operations were answered; the connection is then in
-	// doubt and must be discarded.
+	// Err is set if not all operations were answered. The state of the connection is then unknown
+	// and it must be discarded.
 	Err error
 }
 
-// First returns the first result, nil if there is none.
+// First returns the first result, or nil if there is none.
 func (b *Batch) First() *Result {
 	if len(b.Results) == 0 {
 		return nil
@@ -26,7 +26,7 @@
 	return &b.Results[0]
 }
 
-// Last returns the last result, nil if there is none.
+// Last returns the last result, or nil if there is none.
 func (b *Batch) Last() *Result {
 	if len(b.Results) == 0 {
 		return nil
@@ -40,9 +40,9 @@
 // Run sends operations and waits for all their answers.
 func (l *Lease) Run(operations []Operation, deadline time.Time) Batch {
 	batch := Batch{SentAt: time.Now(), Results: make([]Result, 0, len(operations))}
-	l.started(batch.SentAt)
+	l.recordSent(batch.SentAt)
 	if batch.Err = l.Send(operations, deadline); batch.Err != nil {
-		l.broke()
+		l.recordBroken()
 		return batch
 	}
 	for i := range operations {
@@ -50,24 +50,24 @@
 		if err != nil {
 			batch.Err = err
 			if !batch.TimedOut() {
-				l.broke()
+				l.recordBroken()
 			}
 			return batch
 		}
-		l.note(&operations[i], &result)
+		l.trackSessionState(&operations[i], &result)
 		batch.Results = append(batch.Results, result)
 	}
-	l.answered(operations, &batch)
+	l.recordAnswers(operations, &batch)
 	return batch
 }
 
-// rollBackLimit bounds the wait for the answer to a rollback.
-const rollBackLimit = 500 * time.Millisecond
+// rollbackTimeout limits the wait for the answer to a rollback.
+const rollbackTimeout = 500 * time.Millisecond
 
-// RollBack ends the open transaction and gives the connection back, or discards
-// one that does not become idle.
+// RollBack rolls back the open transaction and returns the connection, or discards it if it does
+// not become idle.
 func (l *Lease) RollBack() {
-	batch := l.Run([]Operation{{Kind: Rollback}}, time.Now().Add(rollBackLimit))
+	batch := l.Run([]Operation{{Kind: Rollback}}, time.Now().Add(rollbackTimeout))
 	if batch.Err != nil {
 		l.Discard()
 		return
@@ -75,8 +75,7 @@
 	l.Settle(batch.Last())
 }
 
-// Settle gives the connection back if its last answer left it idle, and discards
-// it otherwise.
+// Settle returns the connection if its last answer left it idle, and discards it otherwise.
 func (l *Lease) Settle(last *Result) {
 	if last.State == Idle {
 		l.Return()
@@ -85,43 +84,43 @@
 	l.Discard()
 }
 
-// started notes that the server owes an answer. Of a server that is reached
-// through another node, that node keeps the account.
-func (l *Lease) started(now time.Time) {
+// recordSent records a sent request. The other node does this for a server that is reached through
+// it.
+func (l *Lease) recordSent(now time.Time) {
 	if !l.Remote() {
-		l.stats.Started(now)
+		l.stats.RecordRequest(now)
 	}
 }
 
-// broke notes a connection that broke. A link to another node that breaks says
-// nothing of the server behind it.
-func (l *Lease) broke() {
+// recordBroken records a broken connection. A broken link to another node says nothing about the
+// server behind it.
+func (l *Lease) recordBroken() {
 	if !l.Remote() {
-		l.stats.Unreachable(time.Now())
+		l.stats.RecordFailure(time.Now())
 	}
 }
 
-// answered takes what the answers tell of the server.
-func (l *Lease) answered(operations []Operation, batch *Batch) {
+// recordAnswers updates the server's statistics from its answers.
+func (l *Lease) recordAnswers(operations []Operation, batch *Batch) {
 	last := batch.Last()
 	now := time.Now()
 	if last.Outcome == Unreached && l.Remote() {
-		l.unreached()
+		l.onUnreachable()
 	}
 	if last.Outcome == Unreached || last.Outcome == NoConnection {
 		return
 	}
 	if l.Remote() {
-		l.stats.AnsweredThrough(now)
+		l.stats.RecordIndirectAnswer(now)
 	} else {
-		l.stats.Answered(now)
+		l.stats.RecordAnswer(now)
 	}
-	l.stats.Observe(last.Position)
+	l.stats.RecordPosition(last.Position)
 	if runsStatement(operations) {
-		l.stats.Sample(now, now.Sub(batch.SentAt))
+		l.stats.RecordLatency(now, now.Sub(batch.SentAt))
 	}
 	if l.Remote() && last.State == Idle {
-		// The other node keeps a session's state only while a transaction is open.
+		// The other node keeps the session state only while a transaction is open.
 		clear(l.Values)
 		clear(l.Prepared)
 	}
@@ -136,8 +135,8 @@
 	return false
 }
 
-// note follows the session state that the server keeps for the connection.
-func (l *Lease) note(operation *Operation, result *Result) {
+// trackSessionState mirrors the session state that the server keeps for the connection.
+func (l *Lease) trackSessionState(operation *Operation, result *Result) {
 	if operation.Kind == RunStatement && result.Outcome == StatementMissing {
 		clear(l.Prepared)
 		return
@@ -157,8 +156,8 @@
 	}
 }
 
-// Adapt returns the operations that give the connection a session's values and,
-// if the statement executes a prepared one, the statement under its name.
+// Adapt returns the operations that set the session values on the connection and prepare the
+// statement if it executes a prepared one that the connection lacks.
 func (l *Lease) Adapt(values map[string]string, statement *command.Statement) []Operation {
 	var operations []Operation
 	for name := range l.Values {
@@ -183,8 +182,8 @@
 	return operations
 }
 
-// ServerName is the name under which a statement is prepared on connections:
-// the same for the same statement, whatever its callers name it.
+// ServerName returns the name under which a statement is prepared on server connections. It depends
+// only on the statement, not on the caller's name for it.
 func ServerName(definition command.PreparedStatement) string {
 	if definition.Writes {
 		return "w_" + definition.Shape
--- a/internal/proxy/upstream/lease.go
+++ b/internal/proxy/upstream/lease.go
@@ -6,41 +6,41 @@
 	"dewknot/internal/proxy/command"
 )
 
-// Lease is a connection lent to one user, with the session state that the server
-// keeps for it. It belongs to a pool, or goes through another node.
+// Lease is a connection to a server that one user has acquired, with the session state that the
+// server keeps for it. The connection belongs to a pool or goes through another node.
 type Lease struct {
 	Connection
 	// Values are the session values set on the connection.
 	Values map[string]string
-	// Prepared holds the names prepared on the connection.
+	// Prepared holds the statements prepared on the connection, by name.
 	Prepared map[string]command.PreparedStatement
 
 	stats *Stats
-	// principal is in whose name the connection was opened.
+	// principal is the identity under which the connection was opened.
 	principal Principal
 	// pool is nil for a connection that goes through another node.
 	pool *Pool
-	// unreached is called when that node says that it does not reach the server.
-	unreached func()
-	returned  time.Time
-	// generation is the pool's when the connection was opened.
+	// onUnreachable is called when that node reports that it cannot reach the server.
+	onUnreachable func()
+	returnedAt    time.Time
+	// generation is the pool's generation when the connection was opened.
 	generation int
 }
 
-// NewRemoteLease returns a lease of a connection that goes through another node.
-// unreached is called when that node says that it does not reach the server.
-func NewRemoteLease(connection Connection, stats *Stats, unreached func()) *Lease {
+// NewRemoteLease returns a lease of a connection that goes through another node. onUnreachable is
+// called when that node reports that it cannot reach the server.
+func NewRemoteLease(connection Connection, stats *Stats, onUnreachable func()) *Lease {
 	return &Lease{
-		Connection: connection, stats: stats, unreached: unreached,
+		Connection: connection, stats: stats, onUnreachable: onUnreachable,
 		Values: map[string]string{}, Prepared: map[string]command.PreparedStatement{},
 	}
 }
 
-// Remote reports whether the connection goes through another node, which then
-// limits the work on the server.
+// Remote reports whether the connection goes through another node. That node then limits the work
+// on the server.
 func (l *Lease) Remote() bool { return l.pool == nil }
 
-// Return gives a clean connection back: no answer outstanding, no transaction open.
+// Return gives back a clean connection: it has no outstanding answer and no open transaction.
 func (l *Lease) Return() {
 	pool := l.pool
 	if pool == nil {
@@ -57,29 +57,29 @@
 		pool.open--
 		pool.mutex.Unlock()
 		l.Close()
-		pool.freed()
+		pool.notifyFreed()
 		return
 	}
-	doomed := pool.takeBack(l, time.Now())
+	surplus := pool.release(l, time.Now())
 	pool.mutex.Unlock()
-	if doomed != nil {
-		doomed.Close()
+	if surplus != nil {
+		surplus.Close()
 	}
-	pool.freed()
+	pool.notifyFreed()
 }
 
-// Discard closes a connection that is in doubt.
+// Discard closes a connection whose state is unknown.
 func (l *Lease) Discard() {
 	l.Close()
 	pool := l.pool
 	if pool == nil {
 		return
 	}
-	defer pool.freed()
+	defer pool.notifyFreed()
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
 	if l.generation == pool.generation {
 		pool.open--
 	}
-	pool.openForWaiters(time.Now())
+	pool.dialForWaiters(time.Now())
 }
--- a/internal/proxy/upstream/limit.go
+++ b/internal/proxy/upstream/limit.go
@@ -2,55 +2,53 @@
 
 import "time"
 
-// Times of the limit's law.
+// Durations and fractions that control the connection limit.
 const (
-	// refusalPause is how long no new connection is tried after the server's
-	// limit was met.
-	refusalPause = 200 * time.Millisecond
-	// raiseInterval is the pause between raises of the limit while connections
-	// are wanted. It is refusalPause after the server's limit was met, and half as long
-	// again with each raise that was not refused.
+	// refusalBackoff is how long no new connection is tried after the server refused one because of
+	// its limit.
+	refusalBackoff = 200 * time.Millisecond
+	// raiseInterval is the minimum delay between raises of the limit while connections are wanted.
+	// After a refusal the delay is refusalBackoff. Each raise without a refusal halves it.
 	raiseInterval = 60 * time.Millisecond
-	// scarceSpan is how long after its limit was met a server's connections count as
-	// scarce: it drops those of a lost node after 3 s.
-	scarceSpan = 4 * time.Second
-	// scarceIdle is how long a scarce connection may be idle. After a loss of all nodes
-	// several own some of them for a moment, and one's idle ones are what another's
-	// callers wait for.
-	scarceIdle = 150 * time.Millisecond
-	// idleSpan is how long a connection may be idle that others may want, spareIdleSpan one of
-	// the spareShare part of the limit that is kept while the pool has no more open. Callers of
-	// a server that gets work every few seconds would else wait for an opening, which takes a
-	// slot of the server: 12 of 12 operations five seconds apart opened one, with this 1
-	// (TestSpareConnectionsStay). Servers close what has been idle for a minute.
-	idleSpan      = 3 * time.Second
-	spareIdleSpan = 30 * time.Second
-	spareShare    = 8
+	// scarceDuration is how long a server's connections count as scarce after it refused one
+	// because of its limit. It covers the 3 s after which a server drops the connections of a lost
+	// node.
+	scarceDuration = 4 * time.Second
+	// scarceIdleTimeout is how long a connection may be idle while they are scarce. After an outage
+	// of all nodes, several of them briefly hold connections to the same server, and one node's
+	// idle connections block other nodes' callers.
+	scarceIdleTimeout = 150 * time.Millisecond
+	// idleTimeout is how long a connection may be idle. While connections are not scarce, up to
+	// limit/spareDivisor of them, including those in use, stay open for spareIdleTimeout instead.
+	// Otherwise occasional work would wait for a dial each time, which also takes a slot of the
+	// server. spareIdleTimeout is below the minute after which servers close idle connections.
+	idleTimeout      = 3 * time.Second
+	spareIdleTimeout = 30 * time.Second
+	spareDivisor     = 8
 )
 
-// TrimIdle closes connections that have been idle for long; some stay longer where there are
-// plenty.
+// TrimIdle closes connections whose idle timeout has passed.
 func (p *Pool) TrimIdle(now time.Time) {
-	p.Trim(now.Add(-spareIdleSpan))
-	p.trim(now.Add(-idleSpan), func() int { return p.spare(now) })
+	p.Trim(now.Add(-spareIdleTimeout))
+	p.trim(now.Add(-idleTimeout), func() int { return p.spare(now) })
 }
 
-// spare is how many idle connections stay for spareIdleSpan; the lock is held.
+// spare returns how many idle connections may stay for spareIdleTimeout. The lock is held.
 func (p *Pool) spare(now time.Time) int {
 	if p.scarce(now) {
 		return 0
 	}
 	used := p.open - len(p.idle)
-	return max(0, p.limit/spareShare-used)
+	return max(0, p.limit/spareDivisor-used)
 }
 
-// firstShare is the part of the ceiling that is open to a new pool. After a
-// restart of all nodes, more would meet the server's limit.
-const firstShare = 8
+// initialDivisor sets the initial limit of a pool as a fraction of the ceiling. After a restart of
+// all nodes, a higher one would exceed the server's limit.
+const initialDivisor = 8
 
-func firstLimit(ceiling int) int { return min(ceiling, max(2, ceiling/firstShare)) }
+func initialLimit(ceiling int) int { return min(ceiling, max(2, ceiling/initialDivisor)) }
 
-// SetCeiling changes the greatest number of connections.
+// SetCeiling changes the maximum number of connections.
 func (p *Pool) SetCeiling(ceiling int) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -58,47 +56,48 @@
 	p.limit = min(p.limit, ceiling)
 }
 
-// raise lets the limit rise while connections are wanted; the lock is held.
+// raise raises the limit if connections are wanted. The lock is held.
 func (p *Pool) raise(now time.Time) {
 	if p.limit >= p.ceiling || p.open < p.limit {
 		return
 	}
-	if now.Sub(p.changedAt) >= p.raisePause() {
+	if now.Sub(p.changedAt) >= p.raiseDelay() {
 		p.limit++
-		p.changedAt, p.limited = now, false
-		p.pause = max(p.pause/2, raiseInterval)
+		p.changedAt, p.refusedLast = now, false
+		p.raiseBackoff = max(p.raiseBackoff/2, raiseInterval)
 	}
 }
 
-// refused notes that the server's limit was met; the lock is held.
+// refused records that the server refused a connection because of its limit. The lock is held.
 func (p *Pool) refused(now time.Time) {
 	p.limit = p.open
-	p.changedAt, p.limited, p.refusedAt = now, true, now
-	p.pause = refusalPause
+	p.changedAt, p.refusedLast, p.refusedAt = now, true, now
+	p.raiseBackoff = refusalBackoff
 }
 
-// scarce reports whether the server's limit was met lately; the lock is held.
+// scarce reports whether the server recently refused a connection because of its limit. The lock is
+// held.
 func (p *Pool) scarce(now time.Time) bool {
-	return !p.refusedAt.IsZero() && now.Sub(p.refusedAt) < scarceSpan
+	return !p.refusedAt.IsZero() && now.Sub(p.refusedAt) < scarceDuration
 }
 
-// raisePause is the pause before the limit may rise again; the lock is held.
-func (p *Pool) raisePause() time.Duration { return max(p.pause, raiseInterval) }
+// raiseDelay returns the delay before the limit may rise again. The lock is held.
+func (p *Pool) raiseDelay() time.Duration { return max(p.raiseBackoff, raiseInterval) }
 
-// raiseLater lets the limit rise for those who wait; the lock is held.
-func (p *Pool) raiseLater() {
-	if p.raising || p.closed || p.limit >= p.ceiling || p.waiting.longest() == nil {
+// scheduleRaise schedules a raise of the limit if there are waiters. The lock is held.
+func (p *Pool) scheduleRaise() {
+	if p.raiseScheduled || p.closed || p.limit >= p.ceiling || p.waiters.oldest() == nil {
 		return
 	}
-	p.raising = true
-	time.AfterFunc(p.raisePause(), func() {
-		defer p.freed()
+	p.raiseScheduled = true
+	time.AfterFunc(p.raiseDelay(), func() {
+		defer p.notifyFreed()
 		p.mutex.Lock()
 		defer p.mutex.Unlock()
-		p.raising = false
+		p.raiseScheduled = false
 		now := time.Now()
 		p.raise(now)
-		p.openForWaiters(now)
-		p.raiseLater()
+		p.dialForWaiters(now)
+		p.scheduleRaise()
 	})
 }
--- a/internal/proxy/upstream/pool.go
+++ b/internal/proxy/upstream/pool.go
@@ -8,7 +8,7 @@
 	"dewknot/internal/proxy/command"
 )
 
-// Pool lends connections to one server, each opened in one principal's name. It is safe
+// Pool manages connections to one server. Each connection is opened for one principal. Pool is safe
 // for concurrent use.
 type Pool struct {
 	dialer Dialer
@@ -16,66 +16,67 @@
 	stats  *Stats
 
 	mutex sync.Mutex
-	// idle holds the connections that nobody uses, the one idle longest first.
+	// idle holds the unused connections, the one idle for longest first.
 	idle []*Lease
-	// idleOf counts them by principal.
-	idleOf map[Principal]int
-	open   int
-	// limit is the greatest number of connections now; it falls when the server
-	// refuses one for its own limit, and rises again up to ceiling.
+	// idleCounts counts the idle connections of each principal.
+	idleCounts map[Principal]int
+	open       int
+	// limit is the current maximum number of connections. It drops when the server refuses a
+	// connection because of its own limit, and then rises again up to ceiling.
 	limit     int
 	ceiling   int
 	changedAt time.Time
-	// pause is the pause until the limit may rise, refusedAt when the server's limit was last
-	// met.
-	pause     time.Duration
-	refusedAt time.Time
-	// raising is set while a later raise is due.
-	raising bool
-	// firstUsed is when the first connection was asked for.
+	// raiseBackoff is the delay until the limit may rise. refusedAt is when the server last refused
+	// a connection because of its limit.
+	raiseBackoff time.Duration
+	refusedAt    time.Time
+	// raiseScheduled is set while a delayed raise of the limit is scheduled.
+	raiseScheduled bool
+	// firstUsed is when a connection was first requested.
 	firstUsed time.Time
-	// limited is set while the last change followed a refusal.
-	limited bool
-	waiting waitingList
-	// generation changes when the way to the server changes; connections of an
-	// earlier one no longer count.
+	// refusedLast is set while the last change of the limit followed a refusal.
+	refusedLast bool
+	waiters     waitingList
+	// generation changes when the network path to the server changes. Connections of an earlier
+	// generation are no longer counted.
 	generation int
-	// opening counts the connections that are being opened, within open.
-	opening map[Principal]int
+	// dialing counts the connections being opened for each principal. They are included in open.
+	dialing map[Principal]int
 	closed  bool
-	// onFree, if not nil, is called when a connection, or the place of one, has become free.
+	// onFree, if not nil, is called when a connection or capacity for one becomes free.
 	onFree func()
 }
 
-// dialTimeout bounds the opening of a connection.
+// dialTimeout limits the time for opening a connection.
 const dialTimeout = 1500 * time.Millisecond
 
-// NewPool returns a pool of at most ceiling connections to a server. The target's
-// principal is not used.
+// NewPool returns a pool of at most ceiling connections to a server. The target's principal is
+// ignored.
 func NewPool(dialer Dialer, target Target, ceiling int, stats *Stats) *Pool {
 	return &Pool{
-		dialer: dialer, target: target, limit: firstLimit(ceiling), ceiling: ceiling, stats: stats,
-		waiting: newWaitingList(), opening: map[Principal]int{}, idleOf: map[Principal]int{},
+		dialer: dialer, target: target, limit: initialLimit(ceiling), ceiling: ceiling, stats: stats,
+		waiters: newWaitingList(), dialing: map[Principal]int{}, idleCounts: map[Principal]int{},
 	}
 }
 
-// OnFree registers a function that is called, without any lock held, when a connection or
-// the place of one has become free. It must be called before the pool is used.
+// OnFree registers a function that is called, without any lock held, when a connection or capacity
+// for one becomes free. It must be called before the pool is used.
 func (p *Pool) OnFree(f func()) { p.onFree = f }
 
-// freed calls that function; no lock is held.
-func (p *Pool) freed() {
+// notifyFreed calls onFree. The lock must not be held.
+func (p *Pool) notifyFreed() {
 	if p.onFree != nil {
 		p.onFree()
 	}
 }
 
-// Available reports whether somebody who asks now would get a connection soon: one is idle
-// or may be opened, or nobody waits for one. The last lets one in to find out.
+// Available reports whether a new request would get a connection soon: a connection is idle, one
+// can be opened, or no request is waiting. The last case lets one request through to probe the
+// server.
 func (p *Pool) Available() bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return len(p.idle) > 0 || p.open < p.limit || p.waiting.longest() == nil
+	return len(p.idle) > 0 || p.open < p.limit || p.waiters.oldest() == nil
 }
 
 // Open returns the number of open connections.
@@ -85,45 +86,45 @@
 	return p.open
 }
 
-// warmingSpan is how long a pool takes to open the connections it needs.
-const warmingSpan = time.Second
+// warmUpDuration is the time a pool needs to open the connections it needs.
+const warmUpDuration = time.Second
 
-// Warming reports whether the pool has only lately been used for the first
-// time, so that waiting for a connection is no sign of overload.
+// Warming reports whether the pool was first used so recently that waiting for a connection is no
+// sign of overload.
 func (p *Pool) Warming(now time.Time) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.firstUsed.IsZero() || now.Sub(p.firstUsed) < warmingSpan
+	return p.firstUsed.IsZero() || now.Sub(p.firstUsed) < warmUpDuration
 }
 
-// Get lends a connection of a principal, waiting for one until deadline. For Own, any
-// connection will do.
+// Get acquires a connection of a principal and waits for one until the deadline. For Own, it
+// returns a connection of any principal.
 func (p *Pool) Get(principal Principal, deadline time.Time) (*Lease, error) {
 	return p.get(principal, deadline, 0)
 }
 
-// reserved is the number of connections beyond the limit that only Reserve opens.
-const reserved = 1
+// reserveExtra is the number of connections above the limit that only Reserve opens.
+const reserveExtra = 1
 
-// Reserve lends a connection for questions about the server itself, which must
-// not wait behind callers' work.
-func (p *Pool) Reserve(deadline time.Time) (*Lease, error) { return p.get(Own, deadline, reserved) }
+// Reserve acquires a connection for status queries to the server, which must not wait behind
+// callers' work.
+func (p *Pool) Reserve(deadline time.Time) (*Lease, error) { return p.get(Own, deadline, reserveExtra) }
 
-func (p *Pool) get(principal Principal, deadline time.Time, beyond int) (*Lease, error) {
+func (p *Pool) get(principal Principal, deadline time.Time, extra int) (*Lease, error) {
 	for {
-		lease, waiter := p.take(principal, beyond)
+		lease, waiter := p.takeOrWait(principal, extra)
 		if lease == nil {
 			if waiter == nil {
 				return nil, ErrNoConnection
 			}
-			given, came := p.await(waiter, deadline)
-			if !came {
+			result, received := p.await(waiter, deadline)
+			if !received {
 				return nil, ErrNoConnection
 			}
-			if given.err != nil {
-				return nil, given.err
+			if result.err != nil {
+				return nil, result.err
 			}
-			lease = given.lease
+			lease = result.lease
 		}
 		if lease.Alive() {
 			return lease, nil
@@ -132,9 +133,9 @@
 	}
 }
 
-// take returns an idle connection, or a waiter for whom one is being opened if there is
-// room. It returns neither if the pool is shut.
-func (p *Pool) take(principal Principal, beyond int) (*Lease, *waiter) {
+// takeOrWait returns an idle connection or a registered waiter. It starts to open a connection for
+// the waiter if the limit allows. It returns neither if the pool is shut.
+func (p *Pool) takeOrWait(principal Principal, extra int) (*Lease, *waiter) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.closed {
@@ -147,56 +148,55 @@
 	if lease := p.takeIdle(principal); lease != nil {
 		return lease, nil
 	}
-	waiter := p.waiting.add(principal, beyond, now)
+	waiter := p.waiters.add(principal, extra, now)
 	p.raise(now)
-	p.openFor(waiter, now)
-	p.raiseLater()
+	p.dialFor(waiter, now)
+	p.scheduleRaise()
 	return nil, waiter
 }
 
-// takeIdle returns the connection of the principal that was used last, so that those no
-// longer needed stay idle; nil if there is none. The lock is held.
+// takeIdle returns the principal's most recently used connection, so that surplus connections stay
+// idle and can be closed. It returns nil if there is none. The lock is held.
 func (p *Pool) takeIdle(principal Principal) *Lease {
 	for i := len(p.idle) - 1; i >= 0; i-- {
-		if lease := p.idle[i]; principal.accepts(lease.principal) {
+		if lease := p.idle[i]; principal.mayUse(lease.principal) {
 			p.idle = append(p.idle[:i], p.idle[i+1:]...)
-			p.noLongerIdle(lease)
+			p.uncountIdle(lease)
 			return lease
 		}
 	}
 	return nil
 }
 
-// openFor opens a connection for a waiter unless enough are being opened for those of its
-// principal, and reports whether there was room. The lock is held.
-func (p *Pool) openFor(w *waiter, now time.Time) bool {
-	if p.closed || p.opening[w.principal] >= p.waiting.count(w.principal) {
+// dialFor opens a connection for a waiter unless enough are already being opened for its principal.
+// It returns false if the limit does not allow another connection. The lock is held.
+func (p *Pool) dialFor(w *waiter, now time.Time) bool {
+	if p.closed || p.dialing[w.principal] >= p.waiters.count(w.principal) {
 		return true
 	}
-	beyond := w.beyond
-	if p.limited && now.Sub(p.refusedAt) < refusalPause {
-		// The server has just refused a connection; another would be refused too.
-		beyond = 0
+	extra := w.extra
+	if p.refusedLast && now.Sub(p.refusedAt) < refusalBackoff {
+		// The server has just refused a connection and would refuse another.
+		extra = 0
 	}
 	var replaced *Lease
-	if p.open >= p.limit+beyond {
-		if len(p.idle) == 0 || p.open > p.limit+beyond {
+	if p.open >= p.limit+extra {
+		if len(p.idle) == 0 || p.open > p.limit+extra {
 			return false
 		}
-		// What is idle is another principal's, and has not been wanted for longest.
+		// The idle connections belong to other principals. The first was idle for longest.
 		replaced, p.idle = p.idle[0], p.idle[1:]
-		p.noLongerIdle(replaced)
+		p.uncountIdle(replaced)
 		p.open--
 	}
-	p.startOpening(w.principal, replaced)
+	p.startDial(w.principal, replaced)
 	return true
 }
 
-// startOpening opens a connection in the place of another one, if that is not nil; the
-// lock is held.
-func (p *Pool) startOpening(principal Principal, replaced *Lease) {
+// startDial opens a connection, after closing the one that it replaces, if any. The lock is held.
+func (p *Pool) startDial(principal Principal, replaced *Lease) {
 	p.open++
-	p.opening[principal]++
+	p.dialing[principal]++
 	generation := p.generation
 	go func() {
 		if replaced != nil {
@@ -206,34 +206,33 @@
 	}()
 }
 
-// openForWaiters opens connections for those who wait, the longest first, as far as there
-// is room; the lock is held.
-func (p *Pool) openForWaiters(now time.Time) {
-	for _, w := range p.waiting.order {
-		if !p.openFor(w, now) {
+// dialForWaiters opens connections for the waiters, the longest waiting first, as far as the limit
+// allows. The lock is held.
+func (p *Pool) dialForWaiters(now time.Time) {
+	for _, w := range p.waiters.order {
+		if !p.dialFor(w, now) {
 			return
 		}
 	}
 }
 
-// dial opens a connection for whoever of the principal waits longest. It has its own time
-// limit: a caller that cannot wait so long must not end the opening, or a server that
-// is far or slow would never get a connection.
+// dial opens a connection for the principal's longest waiting waiter. It has its own timeout: if
+// the caller's deadline ended it, a distant or slow server would never get a connection.
 func (p *Pool) dial(principal Principal, generation int) {
 	began := time.Now()
-	p.stats.Started(began)
+	p.stats.RecordRequest(began)
 	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
 	target := p.target
 	target.Principal = principal
-	connection, at, err := p.dialer.Dial(ctx, target)
+	connection, applied, err := p.dialer.Dial(ctx, target)
 	if err != nil {
 		p.dialFailed(err, principal, generation)
 		return
 	}
 	now := time.Now()
-	p.stats.Answered(now)
-	p.stats.Observe(at)
+	p.stats.RecordAnswer(now)
+	p.stats.RecordPosition(applied)
 	p.stats.dialed(now.Sub(began))
 	lease := &Lease{
 		Connection: connection, principal: principal, stats: p.stats, pool: p, generation: generation,
@@ -242,15 +241,15 @@
 	p.dialed(lease)
 }
 
-// dialed hands a new connection to a waiter of its principal.
+// dialed passes a new connection to a waiter of its principal.
 func (p *Pool) dialed(lease *Lease) {
 	p.mutex.Lock()
 	if lease.generation == p.generation {
-		p.opened(lease.principal)
-		if w := p.waiting.takeFor(lease.principal); w != nil {
+		p.dialEnded(lease.principal)
+		if w := p.waiters.takeFor(lease.principal); w != nil {
 			p.mutex.Unlock()
-			w.given <- given{lease: lease}
-			p.freed()
+			w.handover <- handover{lease: lease}
+			p.notifyFreed()
 			return
 		}
 	}
@@ -258,110 +257,110 @@
 	lease.Return()
 }
 
-// opened notes the end of an opening; the lock is held.
-func (p *Pool) opened(principal Principal) {
-	p.opening[principal]--
-	if p.opening[principal] == 0 {
-		delete(p.opening, principal)
+// dialEnded records that a dial has ended. The lock is held.
+func (p *Pool) dialEnded(principal Principal) {
+	p.dialing[principal]--
+	if p.dialing[principal] == 0 {
+		delete(p.dialing, principal)
 	}
 }
 
 func (p *Pool) dialFailed(err error, principal Principal, generation int) {
 	refusal, refused := RefusalOf(err)
 	if refused {
-		// The server has said something, if only that it wants no connection.
-		p.stats.Answered(time.Now())
+		// A refusal is an answer, too, so the server is reachable.
+		p.stats.RecordAnswer(time.Now())
 	} else {
-		p.stats.Unreachable(time.Now())
+		p.stats.RecordFailure(time.Now())
 	}
-	defer p.freed()
+	defer p.notifyFreed()
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if generation != p.generation {
 		return
 	}
 	p.open--
-	p.opened(principal)
+	p.dialEnded(principal)
 	if refused && refusal == ConnectionLimit {
 		p.refused(time.Now())
 	}
-	if w := p.waiting.takeFor(principal); w != nil {
-		w.given <- given{err: err}
+	if w := p.waiters.takeFor(principal); w != nil {
+		w.handover <- handover{err: err}
 	}
-	p.raiseLater()
+	p.scheduleRaise()
 }
 
-// overtakeLimit is how long the one who waits longest may be overtaken by those who want
-// just the connection that has become free: some openings of a connection. After that the
-// connection is closed to make room for it, so that no principal starves.
-const overtakeLimit = 50 * time.Millisecond
-
-// takeBack takes a connection that its user is done with: it goes to a waiter or becomes
-// idle. What it returns is to be closed. The lock is held.
-func (p *Pool) takeBack(lease *Lease, now time.Time) *Lease {
-	lease.returned = now
-	longest := p.waiting.longest()
-	if longest == nil {
-		p.rest(lease)
+// maxOvertakeTime is how long the longest waiting waiter may be overtaken by others that can use
+// the connection that became free. After that the connection is closed and replaced, so that no
+// principal starves. It allows for several dials.
+const maxOvertakeTime = 50 * time.Millisecond
+
+// release takes back a connection: a waiter gets it or it becomes idle. It returns the connection
+// if the caller must close it, otherwise nil. The lock is held.
+func (p *Pool) release(lease *Lease, now time.Time) *Lease {
+	lease.returnedAt = now
+	oldest := p.waiters.oldest()
+	if oldest == nil {
+		p.addIdle(lease)
 		return nil
 	}
-	if longest.principal.accepts(lease.principal) || now.Sub(longest.since) < overtakeLimit {
-		if w := p.waiting.takeFor(lease.principal); w != nil {
-			w.given <- given{lease: lease}
+	if oldest.principal.mayUse(lease.principal) || now.Sub(oldest.since) < maxOvertakeTime {
+		if w := p.waiters.takeFor(lease.principal); w != nil {
+			w.handover <- handover{lease: lease}
 			return nil
 		}
 	}
-	for _, w := range p.waiting.order {
-		if w.principal.accepts(lease.principal) {
-			p.waiting.remove(w)
-			w.given <- given{lease: lease}
+	for _, w := range p.waiters.order {
+		if w.principal.mayUse(lease.principal) {
+			p.waiters.remove(w)
+			w.handover <- handover{lease: lease}
 			return nil
 		}
-		if p.opening[w.principal] < p.waiting.count(w.principal) {
-			// This one has nothing under way.
+		if p.dialing[w.principal] < p.waiters.count(w.principal) {
+			// No connection is being opened for this waiter.
 			p.open--
-			p.startOpening(w.principal, nil)
+			p.startDial(w.principal, nil)
 			return lease
 		}
 	}
-	p.rest(lease)
+	p.addIdle(lease)
 	return nil
 }
 
-// rest keeps a connection that nobody wants now; the lock is held.
-func (p *Pool) rest(lease *Lease) {
+// addIdle keeps a connection that no waiter wants. The lock is held.
+func (p *Pool) addIdle(lease *Lease) {
 	p.idle = append(p.idle, lease)
-	p.idleOf[lease.principal]++
-	if p.scarce(lease.returned) {
-		time.AfterFunc(scarceIdle, func() { p.Trim(time.Now().Add(-scarceIdle)) })
+	p.idleCounts[lease.principal]++
+	if p.scarce(lease.returnedAt) {
+		time.AfterFunc(scarceIdleTimeout, func() { p.Trim(time.Now().Add(-scarceIdleTimeout)) })
 	}
 }
 
-// noLongerIdle notes that a connection was taken from the idle ones; the lock is held.
-func (p *Pool) noLongerIdle(lease *Lease) {
-	if p.idleOf[lease.principal]--; p.idleOf[lease.principal] == 0 {
-		delete(p.idleOf, lease.principal)
+// uncountIdle updates the counts for a connection removed from idle. The lock is held.
+func (p *Pool) uncountIdle(lease *Lease) {
+	if p.idleCounts[lease.principal]--; p.idleCounts[lease.principal] == 0 {
+		delete(p.idleCounts, lease.principal)
 	}
 }
 
-// HasIdle reports whether a connection of a principal is idle.
+// HasIdle reports whether a principal has an idle connection.
 func (p *Pool) HasIdle(principal Principal) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.idleOf[principal] > 0
+	return p.idleCounts[principal] > 0
 }
 
-// Renew leaves all connections behind, since the server is now reached in another
-// way: idle ones are closed, those in use when their user is done, and none of
-// them counts against the limit.
+// Renew abandons all connections because the network path to the server has changed. Idle
+// connections are closed at once, others when they are returned. None of them counts towards the
+// limit.
 func (p *Pool) Renew() {
 	p.mutex.Lock()
 	p.generation++
 	idle := p.idle
-	p.idle, p.open, p.opening, p.idleOf = nil, 0, map[Principal]int{}, map[Principal]int{}
-	p.limited = false
-	p.raiseLater()
-	p.openForWaiters(time.Now())
+	p.idle, p.open, p.dialing, p.idleCounts = nil, 0, map[Principal]int{}, map[Principal]int{}
+	p.refusedLast = false
+	p.scheduleRaise()
+	p.dialForWaiters(time.Now())
 	p.mutex.Unlock()
 	for _, lease := range idle {
 		lease.Close()
@@ -371,19 +370,19 @@
 // Trim closes connections that have been idle since before a time.
 func (p *Pool) Trim(before time.Time) { p.trim(before, func() int { return 0 }) }
 
-// trim closes connections that have been idle since before a time, but leaves as many open as
-// spare returns, which is called with the lock held.
+// trim closes connections that have been idle since before a time, but keeps at least as many idle
+// ones as spare returns. spare is called with the lock held.
 func (p *Pool) trim(before time.Time, spare func() int) {
 	p.mutex.Lock()
-	most := len(p.idle) - spare()
+	closable := len(p.idle) - spare()
 	closed := 0
-	for closed < most && !p.idle[closed].returned.After(before) {
+	for closed < closable && !p.idle[closed].returnedAt.After(before) {
 		closed++
 	}
 	old := append([]*Lease(nil), p.idle[:closed]...)
 	p.idle = append(p.idle[:0], p.idle[closed:]...)
 	for _, lease := range old {
-		p.noLongerIdle(lease)
+		p.uncountIdle(lease)
 	}
 	p.open -= len(old)
 	p.mutex.Unlock()
@@ -392,17 +391,17 @@
 	}
 }
 
-// Shut closes all idle connections and refuses further use.
+// Shut closes all idle connections and rejects further requests.
 func (p *Pool) Shut() {
 	p.mutex.Lock()
 	p.closed = true
 	idle := p.idle
-	p.idle, p.idleOf = nil, map[Principal]int{}
+	p.idle, p.idleCounts = nil, map[Principal]int{}
 	p.open -= len(idle)
-	waiting := p.waiting.clear()
+	waiters := p.waiters.clear()
 	p.mutex.Unlock()
-	for _, waiter := range waiting {
-		waiter.given <- given{err: ErrNoConnection}
+	for _, waiter := range waiters {
+		waiter.handover <- handover{err: ErrNoConnection}
 	}
 	for _, lease := range idle {
 		lease.Close()
--- a/internal/proxy/upstream/pool_test.go
+++ b/internal/proxy/upstream/pool_test.go
@@ -12,19 +12,19 @@
 	"dewknot/internal/base/position"
 )
 
-// limitedDialer opens connections up to a limit that the server sets.
+// limitedDialer simulates a server with a connection limit.
 type limitedDialer struct {
 	mutex   sync.Mutex
 	limit   int
 	open    int
 	refused int
 	dials   int
-	// takes is the time that opening a connection takes.
-	takes time.Duration
+	// delay is the extra time that a dial takes.
+	delay time.Duration
 }
 
 func (d *limitedDialer) Dial(context.Context, Target) (Connection, position.Position, error) {
-	time.Sleep(10*time.Millisecond + d.takes)
+	time.Sleep(10*time.Millisecond + d.delay)
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.dials++
@@ -42,6 +42,7 @@
 	return d.dials, d.refused
 }
 
+// idleConnection is a connection without a server.
 type idleConnection struct {
 	dialer *limitedDialer
 	once   sync.Once
@@ -66,16 +67,15 @@
 	return NewPool(dialer, Target{Address: "address", Service: "service", Server: "server"}, ceiling, NewStats())
 }
 
-// TestServersLimitIsNotStormed: work and questions that find the server full
-// must not knock again and again.
-func TestServersLimitIsNotStormed(t *testing.T) {
+// TestFullServerIsNotFloodedWithDials guards against dialing a full server again and again.
+func TestFullServerIsNotFloodedWithDials(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		dialer := &limitedDialer{limit: 0}
 		pool := newTestPool(dialer, 30)
-		var asking sync.WaitGroup
+		var users sync.WaitGroup
 		end := time.Now().Add(5 * time.Second)
 		for i := range 20 {
-			asking.Go(func() {
+			users.Go(func() {
 				for time.Now().Before(end) {
 					if i == 0 {
 						_, _ = pool.Reserve(time.Now().Add(100 * time.Millisecond))
@@ -85,13 +85,13 @@
 				}
 			})
 		}
-		asking.Wait()
+		users.Wait()
 		_, refused := dialer.counts()
 		must.LessEq(t, 60, refused)
 	})
 }
 
-func TestPoolGrowsWhileWantedAndLendsAgain(t *testing.T) {
+func TestPoolGrowsOnDemandAndReusesConnections(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		dialer := &limitedDialer{limit: 100}
 		pool := newTestPool(dialer, 16)
@@ -111,7 +111,7 @@
 		must.NoError(t, err)
 		lease.Return()
 		after, _ := dialer.counts()
-		must.Eq(t, before, after, must.Sprint("an idle connection is lent, not a new one opened"))
+		must.Eq(t, before, after, must.Sprint("the idle connection should be reused, not a new one opened"))
 		pool.Trim(time.Now().Add(time.Hour))
 		must.Eq(t, 0, pool.Open())
 	})
@@ -133,7 +133,7 @@
 	})
 }
 
-func TestWaiterGetsAReturnedConnectionAndWaitsEnd(t *testing.T) {
+func TestWaiterGetsReturnedConnectionOrTimesOut(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		pool := newTestPool(&limitedDialer{limit: 1}, 1)
 		lease, err := pool.Get(Own, time.Now().Add(time.Second))
@@ -152,11 +152,11 @@
 	})
 }
 
-// TestSlowOpeningSurvivesCallersThatCannotWait: opening takes longer than any
-// caller waits; it must go on for those who come later.
-func TestSlowOpeningSurvivesCallersThatCannotWait(t *testing.T) {
+// TestSlowDialSurvivesCallerTimeouts guards against canceling a slow dial when its caller times
+// out. No connection would ever be opened.
+func TestSlowDialSurvivesCallerTimeouts(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
-		dialer := &limitedDialer{limit: 4, takes: 300 * time.Millisecond}
+		dialer := &limitedDialer{limit: 4, delay: 300 * time.Millisecond}
 		pool := newTestPool(dialer, 16)
 		var lease *Lease
 		err := ErrNoConnection
@@ -174,9 +174,9 @@
 	})
 }
 
-// TestRenewedPoolDoesNotWaitForConnectionsLeftBehind: all connections hang on a
-// way that is cut; the new way is used at once, and the old ones do not return.
-func TestRenewedPoolDoesNotWaitForConnectionsLeftBehind(t *testing.T) {
+// TestRenewedPoolIgnoresOldConnections guards against counting connections over a broken path
+// towards the limit after Renew.
+func TestRenewedPoolIgnoresOldConnections(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		dialer := &limitedDialer{limit: 10}
 		pool := newTestPool(dialer, 2)
@@ -198,9 +198,9 @@
 	})
 }
 
-// littleTraffic runs operations some seconds apart on a pool whose server has room for 360
-// connections, or is scarce, and returns how many connections were opened.
-func littleTraffic(t *testing.T, ceiling, operations int, apart time.Duration) (opened int) {
+// sparseTraffic runs operations at an interval on a pool with a ceiling and returns how many
+// connections were opened.
+func sparseTraffic(t *testing.T, ceiling, operations int, interval time.Duration) (opened int) {
 	t.Helper()
 	bubbletest.Test(t, func(t *testing.T) {
 		dialer := &limitedDialer{limit: 1000}
@@ -209,27 +209,26 @@
 			lease, err := pool.Get(Own, time.Now().Add(time.Second))
 			must.NoError(t, err)
 			lease.Return()
-			for end := time.Now().Add(apart); time.Now().Before(end); time.Sleep(time.Second) {
+			for end := time.Now().Add(interval); time.Now().Before(end); time.Sleep(time.Second) {
 				pool.TrimIdle(time.Now())
 			}
 		}
 		opened, _ = dialer.counts()
-		time.Sleep(spareIdleSpan)
+		time.Sleep(spareIdleTimeout)
 		pool.TrimIdle(time.Now())
 		must.Eq(t, 0, pool.Open())
 	})
 	return opened
 }
 
-// TestSpareConnectionsStay replays one operation every five seconds, as a server of a large fleet
-// gets them: the connection stays open between them where connections are plenty, and is let go
-// where they are few, since other nodes need them.
+// TestSpareConnectionsStay guards against closing the connection between rare operations where
+// connections are plentiful, and against keeping it where other nodes need it.
 func TestSpareConnectionsStay(t *testing.T) {
-	must.Eq(t, 1, littleTraffic(t, 360, 12, 5*time.Second))
-	must.Eq(t, 12, littleTraffic(t, 30, 12, 5*time.Second))
+	must.Eq(t, 1, sparseTraffic(t, 360, 12, 5*time.Second))
+	must.Eq(t, 12, sparseTraffic(t, 30, 12, 5*time.Second))
 }
 
-// TestSpareConnectionsAreFew: of many that were in use at a time, the spare ones stay only.
+// TestSpareConnectionsAreFew guards against keeping more idle connections than the spare ones.
 func TestSpareConnectionsAreFew(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		pool := newTestPool(&limitedDialer{limit: 1000}, 360)
@@ -242,8 +241,8 @@
 		for _, lease := range leases {
 			lease.Return()
 		}
-		time.Sleep(idleSpan)
+		time.Sleep(idleTimeout)
 		pool.TrimIdle(time.Now())
-		must.Eq(t, firstLimit(360)/spareShare, pool.Open())
+		must.Eq(t, initialLimit(360)/spareDivisor, pool.Open())
 	})
 }
--- a/internal/proxy/upstream/principals_test.go
+++ b/internal/proxy/upstream/principals_test.go
@@ -14,8 +14,8 @@
 	"dewknot/internal/base/bubbletest"
 )
 
-// TestConnectionsBelongToOnePrincipal: a principal is lent its own connections only, an
-// idle one of another makes room at the limit, and questions take any.
+// TestConnectionsBelongToOnePrincipal guards against running a principal's work on another's
+// connection. At the limit another's idle connection is replaced; Own accepts any.
 func TestConnectionsBelongToOnePrincipal(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		dialer := &limitedDialer{limit: 2}
@@ -30,11 +30,11 @@
 		time.Sleep(time.Millisecond)
 		birch.Return()
 		must.True(t, get("amber") == amber)
-		must.Eq(t, birch, get(Own), must.Sprint("a question takes what is idle"))
+		must.Eq(t, birch, get(Own), must.Sprint("Own should get any idle connection"))
 		birch.Return()
 		cedar := get("cedar")
 		must.Eq(t, Principal("cedar"), cedar.principal)
-		must.Eq(t, 2, pool.Open(), must.Sprint("birch's idle connection was closed for it"))
+		must.Eq(t, 2, pool.Open(), must.Sprint("birch's idle connection should have been replaced"))
 		must.Eq(t, 2, dialer.open)
 		amber.Return()
 		cedar.Return()
@@ -42,8 +42,8 @@
 	})
 }
 
-// TestNoPrincipalStarves: however many principals share a few connections, whoever waits
-// long enough gets one, and a connection of its own.
+// TestNoPrincipalStarves guards against a principal that never gets a connection while others
+// compete for a few.
 func TestNoPrincipalStarves(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		const (
@@ -52,27 +52,26 @@
 		)
 		principals := rapid.IntRange(1, 40).Draw(rt, "principals")
 		connections := rapid.IntRange(1, 6).Draw(rt, "connections")
-		// greedy users of the first principal come back at once.
+		// greedy users of the first principal request a connection again at once.
 		greedy := rapid.IntRange(0, 12).Draw(rt, "greedy")
 		seed := rapid.Uint64().Draw(rt, "seed")
 		bubbletest.Test(t, func(*testing.T) {
 			dialer := &limitedDialer{limit: connections}
 			pool := newTestPool(dialer, connections)
 			users := greedy + principals
-			// Before a user come, at worst, all others once, one after the other on one
-			// connection, each after an opening, and those that overtake; the limit rises
-			// from its first value in steps.
-			bound := time.Duration(users)*(work+dial+overtakeLimit) + time.Second
+			// In the worst case all other users go first on the same connection, each after a dial
+			// and some overtaking. The limit rises in steps from its initial value.
+			bound := time.Duration(users)*(work+dial+maxOvertakeTime) + time.Second
 			var working sync.WaitGroup
 			use := func(principal Principal, random *rand.Rand, pause time.Duration) {
 				for range 10 {
 					lease, err := pool.Get(principal, time.Now().Add(bound))
 					if err != nil {
-						rt.Errorf("%s waited %v in vain: %v", principal, bound, err)
+						rt.Errorf("%s got no connection within %v: %v", principal, bound, err)
 						return
 					}
 					if lease.principal != principal {
-						rt.Errorf("%s was lent a connection of %s", principal, lease.principal)
+						rt.Errorf("%s got a connection of %s", principal, lease.principal)
 					}
 					time.Sleep(time.Duration(random.Int64N(int64(work))))
 					if random.IntN(20) == 0 {
@@ -94,7 +93,7 @@
 			pool.Shut()
 			synctest.Wait()
 			if pool.Open() != 0 || dialer.open != 0 {
-				rt.Errorf("%d connections are left open, the pool counts %d", dialer.open, pool.Open())
+				rt.Errorf("%d connections are still open, the pool counts %d", dialer.open, pool.Open())
 			}
 		})
 	})
--- a/internal/proxy/upstream/stats.go
+++ b/internal/proxy/upstream/stats.go
@@ -9,35 +9,35 @@
 	"dewknot/internal/base/position"
 )
 
-// Weights and times of the estimates.
+// Weights and durations of the estimates.
 const (
 	// latencyWeight is the weight of a new sample in the latency estimate.
 	latencyWeight = 0.2
-	// latencyForgetting is the time in which an estimate without samples falls
-	// by the factor e towards the lowest latency seen.
-	latencyForgetting = time.Second
-	// lagForgetting is the same for the lag estimate.
-	lagForgetting = 700 * time.Millisecond
-	// failurePause is how long a server that could not be reached is avoided.
-	failurePause = 400 * time.Millisecond
+	// latencyDecayTime is the time in which, without samples, the difference between the estimate
+	// and the lowest latency seen falls by a factor of e.
+	latencyDecayTime = time.Second
+	// lagDecayTime is the time in which the lag estimate falls by a factor of e.
+	lagDecayTime = 700 * time.Millisecond
+	// failureAvoidTime is how long a server is avoided after a failed connection.
+	failureAvoidTime = 400 * time.Millisecond
 )
 
-// Stats is what answers have told about one server. It is safe for concurrent use.
+// Stats collects what is known about one server from its answers. It is safe for concurrent use.
 type Stats struct {
-	lastAnswer  atomic.Int64 // nanoseconds since epoch
-	lastThrough atomic.Int64 // the same, of an answer through another node
-	epoch       time.Time
+	lastAnswer         atomic.Int64 // nanoseconds since epoch
+	lastIndirectAnswer atomic.Int64 // nanoseconds since epoch, through another node
+	epoch              time.Time
 
 	mutex sync.Mutex
-	// unansweredSince is when the first request was sent that the server has not
-	// said anything since; zero if it has.
+	// unansweredSince is when the first request was sent after the server's last answer; zero if
+	// there is none.
 	unansweredSince time.Time
 	latency         float64 // seconds
-	lowest          float64
+	minLatency      float64
 	latencyAt       time.Time
 	lag             time.Duration
 	lagAt           time.Time
-	found           behindness
+	trend           lagTrend
 	applied         position.Position
 	observedAt      time.Time
 	failedAt        time.Time
@@ -51,8 +51,8 @@
 	return &Stats{epoch: time.Now()}
 }
 
-// Started notes that a request was sent.
-func (s *Stats) Started(now time.Time) {
+// RecordRequest records that a request was sent.
+func (s *Stats) RecordRequest(now time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.unansweredSince.IsZero() {
@@ -60,9 +60,9 @@
 	}
 }
 
-// Unanswered returns for how long requests have been sent to the server without
-// any answer; 0 if its last answer is newer than all of them. A single answer
-// that is lost does not count once the server has given another.
+// Unanswered returns the time since the first request that was sent after the server's last answer;
+// 0 if there is none. A single lost answer does not count once the server has answered another
+// request.
 func (s *Stats) Unanswered(now time.Time) time.Duration {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -72,8 +72,8 @@
 	return now.Sub(s.unansweredSince)
 }
 
-// Answered notes that the server has said something.
-func (s *Stats) Answered(now time.Time) {
+// RecordAnswer records an answer of the server.
+func (s *Stats) RecordAnswer(now time.Time) {
 	s.lastAnswer.Store(int64(now.Sub(s.epoch)))
 	s.mutex.Lock()
 	s.failures = 0
@@ -81,37 +81,39 @@
 	s.mutex.Unlock()
 }
 
-// AnsweredThrough notes that the server has said something through another node,
-// which shows that it lives, not that this node reaches it.
-func (s *Stats) AnsweredThrough(now time.Time) { s.lastThrough.Store(int64(now.Sub(s.epoch))) }
+// RecordIndirectAnswer records an answer of the server through another node. It shows that the
+// server is running, but not that this node can reach it.
+func (s *Stats) RecordIndirectAnswer(now time.Time) {
+	s.lastIndirectAnswer.Store(int64(now.Sub(s.epoch)))
+}
 
-// SinceSign returns the time since the server last said something in any way.
+// SinceSign returns the time since the server's last answer, direct or through another node.
 func (s *Stats) SinceSign(now time.Time) time.Duration {
-	return now.Sub(s.epoch.Add(time.Duration(max(s.lastAnswer.Load(), s.lastThrough.Load()))))
+	return now.Sub(s.epoch.Add(time.Duration(max(s.lastAnswer.Load(), s.lastIndirectAnswer.Load()))))
 }
 
-// SinceAnswer returns the time since the server last said something directly.
+// SinceAnswer returns the time since the server's last direct answer.
 func (s *Stats) SinceAnswer(now time.Time) time.Duration {
 	return now.Sub(s.epoch.Add(time.Duration(s.lastAnswer.Load())))
 }
 
-// Unreachable notes that a connection could not be opened or broke.
-func (s *Stats) Unreachable(now time.Time) {
+// RecordFailure records that a connection could not be opened or broke.
+func (s *Stats) RecordFailure(now time.Time) {
 	s.mutex.Lock()
 	s.failures++
 	s.failedAt = now
 	s.mutex.Unlock()
 }
 
-// Failures returns the failures in a row and the time of the last.
+// Failures returns the number of consecutive failures and the time of the last one.
 func (s *Stats) Failures() (int, time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.failures, s.failedAt
 }
 
-// Forgive drops the evidence against the server, since it is now reached in
-// another way.
+// Forgive resets the failures and the unanswered requests, because the network path to the server
+// has changed.
 func (s *Stats) Forgive() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -119,86 +121,85 @@
 	s.unansweredSince = time.Time{}
 }
 
-// Avoid keeps work from the server until a time, without evidence against it.
+// Avoid keeps work away from the server until a time, independent of failures.
 func (s *Stats) Avoid(until time.Time) {
 	s.mutex.Lock()
 	s.avoidUntil = until
 	s.mutex.Unlock()
 }
 
-// Avoided reports whether the server has lately been unreachable.
+// Avoided reports whether the server was recently unreachable or Avoid applies.
 func (s *Stats) Avoided(now time.Time) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return now.Before(s.avoidUntil) || s.failures > 0 && now.Sub(s.failedAt) < failurePause
+	return now.Before(s.avoidUntil) || s.failures > 0 && now.Sub(s.failedAt) < failureAvoidTime
 }
 
-// Busied notes that the server refused for want of a slot.
+// Busied records that the server rejected work because it had no free slot.
 func (s *Stats) Busied(until time.Time) {
 	s.mutex.Lock()
 	s.busyUntil = until
 	s.mutex.Unlock()
 }
 
-// Congested reports whether the server has just refused for want of a slot.
+// Congested reports whether the server has recently rejected work because it had no free slot.
 func (s *Stats) Congested(now time.Time) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return now.Before(s.busyUntil)
 }
 
-// Sample takes the latency of an answered statement.
-func (s *Stats) Sample(now time.Time, latency time.Duration) {
+// RecordLatency records the latency of an answered statement.
+func (s *Stats) RecordLatency(now time.Time, latency time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	sample := latency.Seconds()
 	if s.latencyAt.IsZero() {
-		s.latency, s.lowest = sample, sample
+		s.latency, s.minLatency = sample, sample
 	} else {
-		s.latency = s.estimate(now)
+		s.latency = s.latencyEstimate(now)
 		s.latency += latencyWeight * (sample - s.latency)
-		s.lowest = min(s.lowest, sample)
+		s.minLatency = min(s.minLatency, sample)
 	}
 	s.latencyAt = now
 }
 
-// dialed takes the time that opening a connection took as a first estimate.
+// dialed uses half of the time that opening a connection took as the initial estimate.
 func (s *Stats) dialed(took time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.latencyAt.IsZero() {
-		s.latency, s.lowest = took.Seconds()/2, took.Seconds()/2
+		s.latency, s.minLatency = took.Seconds()/2, took.Seconds()/2
 		s.latencyAt = time.Now()
 	}
 }
 
-// estimate returns the latency expected now; the lock is held.
-func (s *Stats) estimate(now time.Time) float64 {
+// latencyEstimate returns the latency expected now. The lock is held.
+func (s *Stats) latencyEstimate(now time.Time) float64 {
 	age := now.Sub(s.latencyAt)
-	keep := math.Exp(-age.Seconds() / latencyForgetting.Seconds())
-	return s.lowest + (s.latency-s.lowest)*keep
+	keep := math.Exp(-age.Seconds() / latencyDecayTime.Seconds())
+	return s.minLatency + (s.latency-s.minLatency)*keep
 }
 
-// Latency returns the latency expected of a statement; 0 if nothing is known.
+// Latency returns the expected latency of a statement; 0 if it is unknown.
 func (s *Stats) Latency(now time.Time) time.Duration {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.latencyAt.IsZero() {
 		return 0
 	}
-	return time.Duration(s.estimate(now) * float64(time.Second))
+	return time.Duration(s.latencyEstimate(now) * float64(time.Second))
 }
 
-// Way returns the lowest latency seen, which is the way to the server and back and hardly
-// more; 0 if nothing is known.
+// Way returns the lowest latency seen, which is close to the round-trip time; 0 if it is unknown.
 func (s *Stats) Way() time.Duration {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return time.Duration(s.lowest * float64(time.Second))
+	return time.Duration(s.minLatency * float64(time.Second))
 }
 
-// Observe takes a position that the server has applied.
-func (s *Stats) Observe(at position.Position) {
+// RecordPosition records a position that the server has applied.
+func (s *Stats) RecordPosition(at position.Position) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.observedAt = time.Now()
@@ -207,22 +208,20 @@
 	}
 }
 
-// knownBehind is how long an answer tells that a server has not reached a position: so long
-// it is not asked again, which would take a connection of the caller's tenant: 8% fewer
-// requests reach servers on a day with replicas far behind (61,600 and 56,500 in one play).
-const knownBehind = 100 * time.Millisecond
+// behindValidity is how long a position counts as the server's current one. During this time the
+// server is not asked again, which would use a connection of the caller's tenant.
+const behindValidity = 100 * time.Millisecond
 
-// Behind returns the position of the server, and whether it has just been seen to lack
-// another one.
-func (s *Stats) Behind(floor position.Position, now time.Time) (position.Position, bool) {
+// Behind returns the server's applied position, and whether that was seen recently and does not
+// cover the minimum position.
+func (s *Stats) Behind(minimum position.Position, now time.Time) (position.Position, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	lacks := !s.applied.IsZero() && !s.applied.Covers(floor)
-	return s.applied, lacks && now.Sub(s.observedAt) < knownBehind
+	lacks := !s.applied.IsZero() && !s.applied.Covers(minimum)
+	return s.applied, lacks && now.Sub(s.observedAt) < behindValidity
 }
 
-// Position returns the position that the server had applied when it last told one, and when
-// that was.
+// Position returns the last reported applied position of the server and the time of that report.
 func (s *Stats) Position() (position.Position, time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -236,17 +235,18 @@
 	return s.applied
 }
 
-// Lagged notes that the server, at a position, lacked one which the primary had since a time.
+// Lagged records that the server, at position at, lacked a position that the primary had since a
+// time.
 func (s *Stats) Lagged(now, since time.Time, at position.Position) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.lag = max(s.lagEstimate(now), now.Sub(since)*5/4)
 	s.lagAt = now
-	// What was applied before may have been rolled back by a promotion.
+	// A promotion may have rolled back what was applied before.
 	s.applied = at
 }
 
-// CaughtUp notes that the server had a position which the primary had since a time.
+// CaughtUp records that the server had a position that the primary had since a time.
 func (s *Stats) CaughtUp(now, since time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -262,14 +262,14 @@
 }
 
 func (s *Stats) lagEstimate(now time.Time) time.Duration {
-	keep := math.Exp(-now.Sub(s.lagAt).Seconds() / lagForgetting.Seconds())
+	keep := math.Exp(-now.Sub(s.lagAt).Seconds() / lagDecayTime.Seconds())
 	return time.Duration(float64(s.lag) * keep)
 }
 
-// Covers reports whether the server surely has a position, or should by now,
-// given the time since which the primary has had it.
-func (s *Stats) Covers(floor position.Position, since, now time.Time) bool {
+// Covers reports whether the server is known to have a position or should have it by now. since is
+// when the primary had it.
+func (s *Stats) Covers(minimum position.Position, since, now time.Time) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.applied.Covers(floor) || now.Sub(since) >= s.lagEstimate(now)
+	return s.applied.Covers(minimum) || now.Sub(since) >= s.lagEstimate(now)
 }
--- a/internal/proxy/upstream/upstream.go
+++ b/internal/proxy/upstream/upstream.go
@@ -1,6 +1,5 @@
-// Package upstream is the port to database servers: connections on which
-// batches of operations run, pools of them, and what their answers tell of a
-// server.
+// Package upstream defines the interface to database servers. It contains connections that run
+// batches of operations, connection pools, and statistics about each server from its answers.
 package upstream
 
 import (
@@ -14,95 +13,96 @@
 	"dewknot/internal/proxy/command"
 )
 
-// OperationKind is what an operation asks a server to do.
+// OperationKind is the type of an operation.
 type OperationKind uint8
 
 // The kinds of operations.
 const (
-	// ResetSession drops the connection's session values and prepared statements.
+	// ResetSession clears the connection's session values and prepared statements.
 	ResetSession OperationKind = iota
 	// SetValue sets a session value.
 	SetValue
 	// PrepareStatement prepares a statement under a name.
 	PrepareStatement
-	// Begin opens a transaction that only the primary accepts.
+	// Begin opens a transaction. Only the primary accepts it.
 	Begin
-	// BeginReadOnly opens a transaction that any server accepts.
+	// BeginReadOnly opens a read-only transaction. Any server accepts it.
 	BeginReadOnly
 	// RunStatement runs a caller's read or write.
 	RunStatement
-	// Commit commits the open transaction on behalf of a caller.
+	// Commit commits the open transaction for a caller.
 	Commit
-	// Rollback ends the open transaction without effect.
+	// Rollback rolls back the open transaction.
 	Rollback
-	// ReportStatus asks for the server's role, term and position.
+	// ReportStatus requests the server's role, term and position.
 	ReportStatus
-	// HoldReplication keeps a replica from receiving, and asks for its status;
-	// a promotion, ResumeReplication or a restart ends it.
+	// HoldReplication stops a replica from receiving and requests its status. A promotion,
+	// ResumeReplication or a restart ends the hold.
 	HoldReplication
 	// ResumeReplication lets a replica receive again.
 	ResumeReplication
-	// StepDown makes a primary of a lower term a replica, and asks for its status.
+	// StepDown demotes a primary of a lower term to a replica and requests its status.
 	StepDown
 )
 
 // Operation is one message to a server.
 type Operation struct {
 	Kind OperationKind
-	// RequestID is the caller's, for RunStatement and Commit.
+	// RequestID is the caller's request ID, for RunStatement and Commit.
 	RequestID string
-	// Floor, if not zero, makes the server refuse a read or BeginReadOnly
+	// Floor is the minimum position. If it is not zero, the server rejects a read or BeginReadOnly
 	// unless its log has reached the position.
 	Floor position.Position
 	// Statement is what RunStatement runs.
 	Statement *command.Statement
-	// Text is passed on as the caller wrote it, for Commit.
+	// Text is the caller's original text, for Commit.
 	Text string
-	// Name is a session value's or a prepared statement's name.
+	// Name is the name of a session value or a prepared statement.
 	Name string
 	// Value is a session value.
 	Value string
 	// Definition is what PrepareStatement prepares.
 	Definition command.PreparedStatement
-	// Term, above all terms known, comes with HoldReplication and StepDown.
+	// Term is higher than all known terms, for HoldReplication and StepDown.
 	Term uint64
 }
 
-// ReportsStatus tells the operations that a server answers with its status.
+// ReportsStatus reports whether a server answers the operation with its status.
 func (k OperationKind) ReportsStatus() bool {
 	return k == ReportStatus || k == HoldReplication || k == StepDown
 }
 
-// Outcome is what an answer says about an operation.
+// Outcome is the result code of an operation.
 type Outcome uint8
 
 // The outcomes of answered operations.
 const (
-	// Succeeded: it ran.
+	// Succeeded: the operation ran.
 	Succeeded Outcome = iota
-	// Busy: it did not run, for want of a slot.
+	// Busy: the operation did not run because the server had no free slot.
 	Busy
-	// Behind: it did not run; the log has not reached the floor.
+	// Behind: the operation did not run because the log has not reached the minimum position.
 	Behind
-	// NotPrimary: it did not run; the server is not, or no longer, the primary.
+	// NotPrimary: the operation did not run because the server is not, or no longer, the primary.
 	NotPrimary
-	// StatementMissing: it did not run; the prepared name is unknown there.
+	// StatementMissing: the operation did not run because the server does not know the prepared
+	// name.
 	StatementMissing
-	// ConnectionLimit: the server accepts no further connection.
+	// ConnectionLimit: the server accepts no more connections.
 	ConnectionLimit
 	// WrongServer: another server answers at this address.
 	WrongServer
-	// Failed: it ran and failed.
+	// Failed: the operation ran and failed.
 	Failed
-	// TimedOut: it ran longer than the server allows.
+	// TimedOut: the operation exceeded the server's time limit.
 	TimedOut
-	// Rejected: the server does not accept it in this state.
+	// Rejected: the server does not accept the operation in its current state.
 	Rejected
-	// NoConnection: it did not run; the node that holds the connections to the
-	// server had none free in time.
+	// NoConnection: the operation did not run because the node that owns the server's connections
+	// had none free in time.
 	NoConnection
-	// Unreached: it did not run; the node that holds the connections to the
-	// server does not reach it.
+	// Unreached: the operation did not run because the node that owns the server's connections
+	// cannot reach the server.
 	Unreached
 )
 
@@ -114,7 +114,7 @@
 // String returns the outcome's name in logs.
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// NotRun reports whether the outcome promises that the operation did not run.
+// NotRun reports whether the outcome guarantees that the operation did not run.
 func (o Outcome) NotRun() bool {
 	switch o {
 	case Busy, Behind, NotPrimary, StatementMissing, ConnectionLimit, WrongServer, NoConnection, Unreached:
@@ -134,14 +134,14 @@
 	FailedTransaction
 )
 
-// Status is a server's report of itself.
+// Status is a server's report of its own state.
 type Status struct {
 	Primary bool
-	// Term is the term the server is in.
+	// Term is the server's current term.
 	Term uint64
-	// Received is the last position that the server's log holds.
+	// Received is the last position in the server's log.
 	Received position.Position
-	// Busy and Connections count slots and connections in use.
+	// Busy and Connections count the slots and connections in use.
 	Busy        int
 	Connections int
 }
@@ -149,7 +149,7 @@
 // Result is a server's answer to one operation.
 type Result struct {
 	Outcome Outcome
-	// Rows belong to the caller.
+	// Rows are owned by the caller.
 	Rows [][]byte
 	// Signature proves that the server ran the operation.
 	Signature string
@@ -161,31 +161,30 @@
 	Status *Status
 }
 
-// UsesSlot tells the operations that take one of a server's slots while they run
-// on behalf of a caller.
+// UsesSlot reports whether the operation takes one of the server's slots while it runs for a
+// caller.
 func (k OperationKind) UsesSlot() bool { return k == RunStatement || k == Commit }
 
-// Connection is a connection to a server. It is used by one goroutine at a time.
+// Connection is a connection to a server. It must not be used by several goroutines at once.
 type Connection interface {
-	// Send writes operations in one go; their answers are of no use after the
-	// deadline.
+	// Send writes operations in one batch. Answers after the deadline are not needed.
 	Send(operations []Operation, deadline time.Time) error
-	// Receive reads the answer to the oldest operation that has none yet.
+	// Receive reads the answer to the oldest unanswered operation.
 	Receive(kind OperationKind, deadline time.Time) (Result, error)
 	// Alive reports whether the connection is idle and not closed by the server.
 	Alive() bool
-	// Close closes the connection; the server rolls back what is open.
+	// Close closes the connection. The server rolls back an open transaction.
 	Close()
 }
 
 // Dialer opens connections.
 type Dialer interface {
-	// Dial connects to a server; the server must be the one that the target names. An
-	// answered refusal is a RefusedError.
+	// Dial connects to a server and checks that it is the one that the target names. It returns a
+	// RefusedError if the server answered with a refusal.
 	Dial(ctx context.Context, target Target) (Connection, position.Position, error)
 }
 
-// Target is what a connection is opened to, and in whose name.
+// Target is the server to connect to and the principal to connect as.
 type Target struct {
 	Address   string
 	Service   string
@@ -193,18 +192,18 @@
 	Principal Principal
 }
 
-// Principal is in whose name a connection to a server is opened: a tenant's, by the
-// tenant's name, or the node's own. A tenant's work runs on connections of its own only.
+// Principal is the identity under which a connection to a server is opened: a tenant's name, or Own
+// for the node itself. A tenant's work only runs on the tenant's own connections.
 type Principal string
 
-// Own is the principal of the node itself: of its questions about a server, which may run
-// on any connection, and of callers who need no key.
+// Own is the principal of the node itself. It is used for status queries, which may run on any
+// connection, and for callers that need no key.
 const Own Principal = ""
 
-// accepts reports whether work of the principal may run on a connection of another one.
-func (p Principal) accepts(opened Principal) bool { return p == Own || p == opened }
+// mayUse reports whether work of the principal may run on a connection opened for another one.
+func (p Principal) mayUse(opened Principal) bool { return p == Own || p == opened }
 
-// RefusedError is a connection that a server refused with an answer.
+// RefusedError reports that a server answered a connection attempt with a refusal.
 type RefusedError struct {
 	Outcome Outcome
 	Detail  string
--- a/internal/proxy/upstream/waiters.go
+++ b/internal/proxy/upstream/waiters.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// given is what a waiter gets: a connection, or the reason why there is none.
-type given struct {
+// handover is what a waiter receives: a connection or an error.
+type handover struct {
 	lease *Lease
 	err   error
 }
 
-// waiter waits for a connection of a principal.
+// waiter is a request that waits for a connection of a principal.
 type waiter struct {
 	principal Principal
-	// beyond is how many connections beyond the pool's limit may be opened for it.
-	beyond int
-	since  time.Time
-	given  chan given
+	// extra is how many connections above the pool's limit may be opened for it.
+	extra    int
+	since    time.Time
+	handover chan handover
 }
 
-// waitingList holds those who wait for a connection, the longest first.
+// waitingList holds the waiters, the longest waiting first.
 type waitingList struct {
 	order  []*waiter
 	counts map[Principal]int
@@ -28,29 +28,29 @@
 
 func newWaitingList() waitingList { return waitingList{counts: map[Principal]int{}} }
 
-func (l *waitingList) add(principal Principal, beyond int, now time.Time) *waiter {
-	w := &waiter{principal: principal, beyond: beyond, since: now, given: make(chan given, 1)}
+func (l *waitingList) add(principal Principal, extra int, now time.Time) *waiter {
+	w := &waiter{principal: principal, extra: extra, since: now, handover: make(chan handover, 1)}
 	l.order = append(l.order, w)
 	l.counts[principal]++
 	return w
 }
 
-// count returns how many of a principal wait.
+// count returns the number of waiters of a principal.
 func (l *waitingList) count(principal Principal) int { return l.counts[principal] }
 
-// longest returns who waits longest, nil if nobody does.
-func (l *waitingList) longest() *waiter {
+// oldest returns the longest waiting waiter, or nil if there is none.
+func (l *waitingList) oldest() *waiter {
 	if len(l.order) == 0 {
 		return nil
 	}
 	return l.order[0]
 }
 
-// takeFor removes and returns who waits longest for a connection of a principal, or for
-// any; nil if nobody does.
+// takeFor removes and returns the longest waiting waiter that may use a connection of a principal,
+// or nil if there is none.
 func (l *waitingList) takeFor(principal Principal) *waiter {
 	for _, w := range l.order {
-		if w.principal.accepts(principal) {
+		if w.principal.mayUse(principal) {
 			l.remove(w)
 			return w
 		}
@@ -72,32 +72,32 @@
 	return true
 }
 
-// clear removes and returns all.
+// clear removes and returns all waiters.
 func (l *waitingList) clear() []*waiter {
 	all := l.order
 	l.order, l.counts = nil, map[Principal]int{}
 	return all
 }
 
-// await waits for what a waiter gets; it reports false if nothing came in time.
-func (p *Pool) await(w *waiter, deadline time.Time) (given, bool) {
+// await waits for a waiter's connection or error. It returns false if neither arrives in time.
+func (p *Pool) await(w *waiter, deadline time.Time) (handover, bool) {
 	timer := time.NewTimer(time.Until(deadline))
 	defer timer.Stop()
 	select {
-	case came := <-w.given:
-		return came, true
+	case received := <-w.handover:
+		return received, true
 	case <-timer.C:
 	}
 	p.mutex.Lock()
-	waited := p.waiting.remove(w)
+	stillWaiting := p.waiters.remove(w)
 	p.mutex.Unlock()
-	p.freed()
-	if waited {
-		return given{}, false
+	p.notifyFreed()
+	if stillWaiting {
+		return handover{}, false
 	}
-	// The hand-over was under way already.
-	if late := <-w.given; late.lease != nil {
+	// Another goroutine had already taken the waiter from the list and will send.
+	if late := <-w.handover; late.lease != nil {
 		late.lease.Return()
 	}
-	return given{}, false
+	return handover{}, false
 }
