--- a/internal/proxy/admission/bench_test.go
+++ b/internal/proxy/admission/bench_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// BenchmarkGate lets work in and out of a gate that has places.
+// BenchmarkGate admits and ends work at a gate with free slots.
 func BenchmarkGate(b *testing.B) {
 	gate := NewGate(4, 4)
 	b.ReportAllocs()
@@ -17,7 +17,8 @@
 	}
 }
 
-// BenchmarkOutlook asks a gate with a long queue what waits, as on each answer of an owner.
+// BenchmarkOutlook computes the outlook of a gate with a long queue, which an owner does for each
+// answer.
 func BenchmarkOutlook(b *testing.B) {
 	gate := NewGate(1, 1)
 	now := time.Now()
--- a/internal/proxy/admission/early.go
+++ b/internal/proxy/admission/early.go
@@ -6,33 +6,34 @@
 	"dewknot/internal/proxy/urgency"
 )
 
-// Verdict is what becomes of work before it is sent to a server's owner.
+// Verdict is the decision about work before it is sent to the node that owns a server's
+// connections.
 type Verdict uint8
 
 // The verdicts.
 const (
-	// Ask: the owner decides.
+	// Ask: send the work to the owner, which decides.
 	Ask Verdict = iota
-	// Decline: the server has no room for the work in time. Another server may, otherwise
-	// the caller is told at once.
-	Decline
+	// TryElsewhere: the server cannot run the work in time. Another server may run it; if there is
+	// none, the work is rejected at once.
+	TryElsewhere
 	// Refuse: the work cannot be answered by its deadline.
 	Refuse
 )
 
-// Known is what a node knows of the work that waits for a server.
+// Known is what a node knows about the queue of a server.
 type Known struct {
-	// Recent is set if anything recent is known. Wait is then the wait that the owner
-	// tells for the work's level and class.
+	// Recent is set if the node has a recent load report. Wait is the wait reported by the owner
+	// for the work's level and class.
 	Recent bool
 	Wait   time.Duration
-	// Waiting counts the work that the owner had waiting, Sent the work of this node that
-	// is on its way there.
+	// Waiting is the queue length reported by the owner. Sent counts this node's work that is on
+	// its way to the owner.
 	Waiting int
 	Sent    int
 }
 
-// wait returns the expected wait, with what this node has sent in the meantime.
+// wait returns the expected wait, including work that this node has sent since the report.
 func (k *Known) wait() time.Duration {
 	if k.Waiting <= 0 {
 		return k.Wait
@@ -40,34 +41,32 @@
 	return k.Wait + time.Duration(k.Sent)*k.Wait/time.Duration(k.Waiting)
 }
 
-// Early decides about work before it is sent to an owner, which would refuse it after it
-// has waited for allowed. A node that knows nothing recent asks, and so does work that may wait
-// no longer, if there is a free place.
+// Early decides about work before it is sent to an owner, which would reject it only after it has
+// waited for allowed. Statements of open transactions are always sent, and so is all work without a
+// recent report.
 //
-// All nodes hear of a queue at about the same time. If each declined by the same bound, the
-// server would be empty until they all came back: so of work whose expected wait is n times
-// what is allowed, one in n asks, which is about what the owner can let in. draw is
-// uniform in [0, 1).
-func Early(w *urgency.Work, now time.Time, allowed time.Duration, known Known, draw float64) Verdict {
-	if !known.Recent || w.Open {
+// All nodes receive reports of a long queue at about the same time. If all of them stopped sending
+// at the same limit, the server would run idle until their reports expire. So if the expected wait
+// is n times the allowed one, one in n requests is sent, which is about what the owner can admit.
+// draw is a random number in [0, 1).
+func Early(w *urgency.Work, now time.Time, allowed time.Duration, queue Known, draw float64) Verdict {
+	if !queue.Recent || w.Open {
 		return Ask
 	}
-	wait := known.wait()
+	wait := queue.wait()
 	allowed = max(allowed, 0)
 	switch {
 	case wait <= allowed:
 		return Ask
-	case w.Hopeless(now, wait):
+	case w.CannotFinish(now, wait):
 		return Refuse
 	case draw*float64(wait) < float64(allowed):
 		return Ask
 	default:
-		return Decline
+		return TryElsewhere
 	}
 }
 
-// Overfull reports whether a server has so much work waiting that work which may wait for
-// allowed would be refused in the end: it is told at once. Of work for two and a half times
-// what a server runs, what is refused is held for 41 ms in place of 140 ms (replayed, 60 nodes
-// 20 ms away, 100 ms allowed), and as much is served.
+// Overfull reports whether work that may wait for allowed would be rejected after waiting, because
+// the expected wait is longer. Such work is rejected at once.
 func Overfull(wait, allowed time.Duration) bool { return wait > max(allowed, 0) }
--- a/internal/proxy/admission/early_test.go
+++ b/internal/proxy/admission/early_test.go
@@ -17,148 +17,146 @@
 	return urgency.Work{Arrived: now, Objective: now.Add(500 * time.Millisecond), Deadline: now.Add(2 * time.Second)}
 }
 
-// TestNothingIsRefusedForWantOfKnowledge: work of a node that knows nothing recent, and
-// statements of open transactions, always reach the owner; what fits always does.
-func TestNothingIsRefusedForWantOfKnowledge(t *testing.T) {
+// TestUnknownLoadRejectsNothing guards against rejecting work early without a recent load
+// report, for open transactions, or although it can run in time.
+func TestUnknownLoadRejectsNothing(t *testing.T) {
 	now := time.Unix(1_000, 0)
 	rapid.Check(t, func(t *rapid.T) {
 		milliseconds := func(name string, most int) time.Duration {
 			return time.Duration(rapid.IntRange(0, most).Draw(t, name)) * time.Millisecond
 		}
 		work := workAt(now)
-		known := Known{Wait: milliseconds("wait", 5_000), Waiting: rapid.IntRange(0, 50).Draw(t, "waiting"), Sent: rapid.IntRange(0, 50).Draw(t, "sent")}
+		queue := Known{Wait: milliseconds("wait", 5_000), Waiting: rapid.IntRange(0, 50).Draw(t, "waiting"), Sent: rapid.IntRange(0, 50).Draw(t, "sent")}
 		allowed, draw := milliseconds("allowed", 600)-200*time.Millisecond, rapid.Float64Range(0, 0.999).Draw(t, "draw")
-		must.Eq(t, Ask, Early(&work, now, allowed, known, draw))
-		known.Recent = true
-		verdict := Early(&work, now, allowed, known, draw)
-		must.False(t, Overfull(0, allowed), must.Sprint("there is a free place"))
-		if known.wait() <= max(allowed, 0) {
+		must.Eq(t, Ask, Early(&work, now, allowed, queue, draw))
+		queue.Recent = true
+		verdict := Early(&work, now, allowed, queue, draw)
+		must.False(t, Overfull(0, allowed), must.Sprint("there is a free slot"))
+		if queue.wait() <= max(allowed, 0) {
 			must.Eq(t, Ask, verdict)
 		}
-		if known.wait() > work.Deadline.Sub(now) {
+		if queue.wait() > work.Deadline.Sub(now) {
 			must.Eq(t, Refuse, verdict)
 		}
-		// More waiting work never makes it more likely that the work is sent.
-		longer := known
+		// A longer wait must not make it more likely that the work is sent.
+		longer := queue
 		longer.Wait += milliseconds("more", 1_000)
 		if Early(&work, now, allowed, longer, draw) == Ask {
 			must.Eq(t, Ask, verdict)
 		}
 		work.Open = true
-		must.Eq(t, Ask, Early(&work, now, allowed, known, draw))
+		must.Eq(t, Ask, Early(&work, now, allowed, queue, draw))
 	})
 }
 
-// overload is how a server of four places fares that 60 nodes send two and a half times what
-// it runs, through its owner.
+// overload is the result of a simulated server with four slots that 60 nodes send two and a half
+// times its capacity, through its owner.
 type overload struct {
-	// idle is the part of the time in which a place was free.
+	// idle is the fraction of the time in which a slot was free.
 	idle float64
-	// refused counts the work that did not run, held is for how long its node and the owner
-	// had it on average.
-	refused int
-	held    time.Duration
+	// rejected counts the work that did not run. delay is the average time until its node knew
+	// that.
+	rejected int
+	delay    time.Duration
 }
 
-// playOverload plays 20 s of it, a millisecond a step: an owner lets work wait for 100 ms, and
-// each answer tells its node what waits. ask decides at a node, by what it was told last;
-// enter at the owner.
-func playOverload(ask func(known Known) bool, enter func(wait time.Duration) bool) overload {
+// simulateOverload simulates 20 s in steps of a millisecond. The owner lets work wait for 100 ms,
+// and each answer carries a load report. shouldSend decides at a node from its last report,
+// shouldQueue at the owner.
+func simulateOverload(shouldSend func(latest Known) bool, shouldQueue func(wait time.Duration) bool) overload {
 	const (
-		nodes, places = 60, 4
-		work          = 20  // that a statement holds a place
-		way           = 20  // to the owner, and back
-		patience      = 100 // that work waits for a place
-		load          = 0.5 // statements a millisecond
-		steps         = 20_000
+		nodes, slots = 60, 4
+		work         = 20  // ms that a statement uses a slot
+		oneWay       = 20  // ms to the owner, and the same back
+		maxWait      = 100 // ms that work waits for a slot
+		load         = 0.5 // statements per ms
+		steps        = 20_000
 	)
-	// due is when a statement that waits is refused, and when one that runs ends.
-	type statement struct{ node, asked, due int }
+	// due is when a waiting statement is rejected, or when a running one ends.
+	type statement struct{ node, sentAt, due int }
 	type answer struct {
 		node, at int
 		Known
 	}
 	random := rand.New(rand.NewPCG(1, 2))
-	var known [nodes]answer
+	var latest [nodes]answer
 	arriving, answers := map[int][]statement{}, map[int][]answer{}
 	var queue []statement
 	var running []statement
 	var result overload
-	held := 0
-	wait := func() time.Duration { return time.Duration(len(queue)*work/places) * time.Millisecond }
-	tell := func(node, now int) {
-		answers[now+way] = append(answers[now+way], answer{node, now, Known{Recent: true, Wait: wait(), Waiting: len(queue)}})
+	delay := 0
+	wait := func() time.Duration { return time.Duration(len(queue)*work/slots) * time.Millisecond }
+	report := func(node, now int) {
+		answers[now+oneWay] = append(answers[now+oneWay], answer{node, now, Known{Recent: true, Wait: wait(), Waiting: len(queue)}})
 	}
-	refuse := func(s statement, now int) {
-		result.refused++
-		held += now + way - s.asked
-		tell(s.node, now)
+	reject := func(s statement, now int) {
+		result.rejected++
+		delay += now + oneWay - s.sentAt
+		report(s.node, now)
 	}
 	for now := range steps {
 		for _, a := range answers[now] {
-			known[a.node] = a
+			latest[a.node] = a
 		}
 		if random.Float64() < load {
 			node := random.IntN(nodes)
-			k := known[node].Known
-			k.Recent = k.Recent && now-known[node].at < 400
-			if ask(k) {
-				arriving[now+way] = append(arriving[now+way], statement{node, now, now + way + patience})
+			k := latest[node].Known
+			k.Recent = k.Recent && now-latest[node].at < 400
+			if shouldSend(k) {
+				arriving[now+oneWay] = append(arriving[now+oneWay], statement{node, now, now + oneWay + maxWait})
 			} else {
-				result.refused++
+				result.rejected++
 			}
 		}
 		for _, s := range arriving[now] {
-			if enter(wait()) {
+			if shouldQueue(wait()) {
 				queue = append(queue, s)
 			} else {
-				refuse(s, now)
+				reject(s, now)
 			}
 		}
 		for len(queue) > 0 && queue[0].due <= now {
-			refuse(queue[0], now)
+			reject(queue[0], now)
 			queue = queue[1:]
 		}
 		running = slices.DeleteFunc(running, func(s statement) bool {
 			if ended := s.due <= now; !ended {
 				return false
 			}
-			tell(s.node, now)
+			report(s.node, now)
 			return true
 		})
-		for len(running) < places && len(queue) > 0 {
+		for len(running) < slots && len(queue) > 0 {
 			queue[0].due = now + work
 			queue, running = queue[1:], append(running, queue[0])
 		}
-		if len(running) < places {
+		if len(running) < slots {
 			result.idle += 1.0 / steps
 		}
 	}
-	result.held = time.Duration(held/max(1, result.refused)) * time.Millisecond
+	result.delay = time.Duration(delay/max(1, result.rejected)) * time.Millisecond
 	return result
 }
 
-// TestRefusedWorkIsToldSoonWhileTheServerIsFull replays reads that reach a primary from 60
-// nodes while its replicas are behind: what is refused is told in a fraction of the time for
-// which it would have waited, and the server has work all the time, though all nodes act
-// on the same reports.
-func TestRefusedWorkIsToldSoonWhileTheServerIsFull(t *testing.T) {
-	const patience = 100 * time.Millisecond
+// TestOverloadIsRejectedEarlyAndServerStaysBusy guards against late rejections during overload, and
+// against an idle server because all nodes act on the same reports.
+func TestOverloadIsRejectedEarlyAndServerStaysBusy(t *testing.T) {
+	const maxWait = 100 * time.Millisecond
 	random := rand.New(rand.NewPCG(3, 4))
 	now := time.Unix(1_000, 0)
 	work := workAt(now)
 	always := func(Known) bool { return true }
-	late := playOverload(always, func(time.Duration) bool { return true })
-	early := playOverload(
-		func(known Known) bool { return Early(&work, now, patience, known, random.Float64()) == Ask },
-		func(wait time.Duration) bool { return !Overfull(wait, patience) },
+	late := simulateOverload(always, func(time.Duration) bool { return true })
+	early := simulateOverload(
+		func(queue Known) bool { return Early(&work, now, maxWait, queue, random.Float64()) == Ask },
+		func(wait time.Duration) bool { return !Overfull(wait, maxWait) },
 	)
-	t.Logf("refused late: %+v; early: %+v", late, early)
+	t.Logf("rejected late: %+v; early: %+v", late, early)
 	must.Less(t, 0.01, early.idle)
-	must.Less(t, late.held*2/3, early.held)
-	must.LessEq(t, late.refused*21/20, early.refused)
-	// A bound that all nodes apply alike leaves the server empty until their knowledge ends.
-	alike := playOverload(func(known Known) bool { return !known.Recent || known.Wait <= patience/4 }, func(time.Duration) bool { return true })
-	t.Logf("one bound for all: %+v", alike)
-	must.Greater(t, early.idle, alike.idle)
+	must.Less(t, late.delay*2/3, early.delay)
+	must.LessEq(t, late.rejected*21/20, early.rejected)
+	// If all nodes use the same limit, the server runs idle until their reports expire.
+	uniform := simulateOverload(func(queue Known) bool { return !queue.Recent || queue.Wait <= maxWait/4 }, func(time.Duration) bool { return true })
+	t.Logf("same limit for all nodes: %+v", uniform)
+	must.Greater(t, early.idle, uniform.idle)
 }
--- a/internal/proxy/admission/gate.go
+++ b/internal/proxy/admission/gate.go
@@ -1,9 +1,9 @@
-// Package admission limits the statements that a node has running on one server.
+// Package admission limits the number of statements that a node runs on one server at the same
+// time.
 //
-// A server runs a few statements at a time, queues some and refuses the rest.
-// A Gate finds the number that the server bears from this node by additive
-// increase and multiplicative decrease, and lets the others wait at the node,
-// where they can be ordered and refused early.
+// A server runs a few statements at a time, queues some and rejects the rest. A Gate finds the
+// server's capacity for this node by additive increase and multiplicative decrease. Work above the
+// limit waits at the node, where it can be prioritized and rejected early.
 package admission
 
 import (
@@ -12,75 +12,71 @@
 	"time"
 )
 
-// Class orders the work that waits for a server.
+// Class determines the priority of work that waits for a server.
 type Class uint8
 
 // The classes of work.
 const (
 	// Continuation is a statement of a transaction that is open on the server.
 	Continuation Class = iota
-	// OnlyHere is work that no other server can take.
+	// OnlyHere is work that only this server can run.
 	OnlyHere
-	// Anywhere is work that other servers could take too.
+	// Anywhere is work that other servers could run, too.
 	Anywhere
 	// Classes is the number of classes.
 	Classes = iota
 )
 
-// headStarts are by how much a class may overtake work that arrived earlier.
-// They are bounded, so no class starves.
+// headStarts is how much later work of a class may arrive and still go before work of class
+// Anywhere. They are bounded, so no class starves.
 var headStarts = [...]time.Duration{
 	Continuation: 400 * time.Millisecond,
 	OnlyHere:     100 * time.Millisecond,
 	Anywhere:     0,
 }
 
-// reuseHeadStart is by how much work may overtake if the server has an idle connection of
-// its principal. Where many tenants share a server's few connections, each change of
-// tenant opens one, which holds a slot: under load, work is done in the order that needs
-// the fewest. With it, and with work let in only when there is a connection for it, 1.7% of
-// a day that ends with a loss of all nodes are refused in place of 2.8% (one play, 72
-// tenants before servers of 32 connections).
+// reuseHeadStart is how much later work may rank and still go first because its principal has an
+// idle connection. Where tenants share a few connections, each change of tenant opens a connection,
+// which takes a slot. Under load, the order is chosen to avoid this.
 const reuseHeadStart = 150 * time.Millisecond
 
 // priorityStep is the head start of a priority over the next lower one.
 const priorityStep = 30 * time.Millisecond
 
-// LateDelay is by how much work whose objective has passed comes after work that can still
-// be answered in time: about as long as work of usual objectives (0.5 to 2 s) waits before
-// it is refused, so that late work goes first only where nothing else is in danger.
+// LateDelay moves work whose objective has passed behind work that can still meet its objective. It
+// is about as long as work with usual objectives (0.5 to 2 s) waits before it is rejected, so late
+// work only goes first if no other work is at risk.
 const LateDelay = 200 * time.Millisecond
 
-// agingInterval is after how long the work that has waited longest goes first, whatever its
-// class and priority: of any flood of more urgent work, the rest keeps five places a second
-// on each server.
+// agingInterval is how often the longest waiting work goes first regardless of its class and
+// priority. This keeps five slots per second and server for less urgent work.
 const agingInterval = 200 * time.Millisecond
 
-// The limit's law.
+// Parameters of the additive increase and multiplicative decrease of the limit.
 const (
-	lowestLimit  = 1.0
-	increase     = 0.5
-	decrease     = 0.7
-	decreaseRest = 60 * time.Millisecond
+	minLimit            = 1.0
+	additiveIncrease    = 0.5
+	decreaseFactor      = 0.7
+	minDecreaseInterval = 60 * time.Millisecond
 )
 
 // Gate limits the work on one server. It is safe for concurrent use.
 type Gate struct {
-	mutex     sync.Mutex
-	limit     float64
-	highest   float64
-	running   int
-	room      room
-	waiting   waitingList
-	decreased time.Time
-	pace      pace
-	// aged is when work last went first for its age.
-	aged time.Time
-	// connections are those to the server; nil if work brings its own.
+	mutex       sync.Mutex
+	limit       float64
+	maxLimit    float64
+	running     int
+	reservation reservation
+	waiting     waitingList
+	decreased   time.Time
+	throughput  throughput
+	// lastAged is when work last went first because of its age.
+	lastAged time.Time
+	// connections are the connections to the server; nil if work brings its own connection.
 	connections Connections
 }
 
-// Connections tells of the connections on which work that was let in runs.
+// Connections reports the state of the connections that admitted work runs on.
 type Connections interface {
 	// HasIdle reports whether a principal has an idle connection.
 	HasIdle(principal string) bool
@@ -88,17 +84,16 @@
 	Available() bool
 }
 
-// NewGate returns a gate that begins with a limit and never lets more than
-// highest run at a time.
-func NewGate(limit, highest int) *Gate {
-	return &Gate{limit: float64(limit), highest: float64(highest)}
+// NewGate returns a gate with an initial limit that never admits more than maxLimit at a time.
+func NewGate(limit, maxLimit int) *Gate {
+	return &Gate{limit: float64(limit), maxLimit: float64(maxLimit)}
 }
 
-// Share makes the gate let work in only when there is a connection for it, and prefer work
-// whose principal has an idle one. It must be called before the first work comes.
+// Share makes the gate admit work only when a connection is available for it, and prefer work whose
+// principal has an idle one. It must be called before the gate is used.
 func (g *Gate) Share(connections Connections) { g.connections = connections }
 
-// Request is work that asks to pass.
+// Request describes work that asks for admission.
 type Request struct {
 	Class Class
 	// Priority 0 is the highest.
@@ -106,7 +101,8 @@
 	Arrived  time.Time
 	// Late is set if the work's objective has passed.
 	Late bool
-	// Principal is in whose name the work runs. Holds is set if it has a connection.
+	// Principal is the identity under which the work runs. Holds is set if the work already has a
+	// connection.
 	Principal string
 	Holds     bool
 }
@@ -119,18 +115,18 @@
 	return rank
 }
 
-// Enter waits for leave to run until deadline and reports whether it was given.
-// Work that was let in must call Leave.
+// Enter waits for admission until the deadline and reports whether the work was admitted. Admitted
+// work must call Leave.
 func (g *Gate) Enter(request Request, deadline time.Time) bool {
-	place := &waiter{
-		rank: request.rank(), arrived: request.Arrived, class: request.Class, principal: request.Principal, holds: request.Holds, admitted: make(chan struct{}),
+	w := &waiter{
+		rank: request.rank(), arrived: request.Arrived, class: request.Class, principal: request.Principal, hasConnection: request.Holds, admitted: make(chan struct{}),
 	}
 	now := time.Now()
 	g.mutex.Lock()
-	heap.Push(&g.waiting, place)
-	g.room.asked(request.Class, now)
+	heap.Push(&g.waiting, w)
+	g.reservation.enqueued(request.Class, now)
 	g.admit(now)
-	admitted := place.index < 0
+	admitted := w.index < 0
 	g.mutex.Unlock()
 	if admitted {
 		return true
@@ -138,18 +134,18 @@
 	timer := time.NewTimer(deadline.Sub(now))
 	defer timer.Stop()
 	select {
-	case <-place.admitted:
+	case <-w.admitted:
 		return true
 	case <-timer.C:
 	}
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	if place.index < 0 {
-		// It was let in at the last moment.
+	if w.index < 0 {
+		// The work was admitted just after the timer fired.
 		return true
 	}
-	heap.Remove(&g.waiting, place.index)
-	g.room.gone(request.Class, time.Now())
+	heap.Remove(&g.waiting, w.index)
+	g.reservation.dequeued(request.Class, time.Now())
 	return false
 }
 
@@ -158,11 +154,11 @@
 
 // The results of admitted work.
 const (
-	// Ran: the server ran it.
+	// Ran: the server ran the work.
 	Ran Result = iota
-	// Refused: the server had no slot and no place in its queue.
+	// Refused: the server had no free slot and its queue was full.
 	Refused
-	// Other: it ended in a way that says nothing of the server's load.
+	// Other: the result says nothing about the server's load.
 	Other
 )
 
@@ -172,26 +168,26 @@
 	defer g.mutex.Unlock()
 	full := g.running >= int(g.limit)
 	g.running--
-	g.room.left(class, now)
+	g.reservation.finished(class, now)
 	switch {
-	case result == Refused && now.Sub(g.decreased) > decreaseRest:
-		g.limit = max(lowestLimit, min(g.limit, float64(g.running+1))*decrease)
+	case result == Refused && now.Sub(g.decreased) > minDecreaseInterval:
+		g.limit = max(minLimit, min(g.limit, float64(g.running+1))*decreaseFactor)
 		g.decreased = now
 	case result == Ran && full:
-		g.limit = min(g.highest, g.limit+increase/g.limit)
+		g.limit = min(g.maxLimit, g.limit+additiveIncrease/g.limit)
 	}
 	g.admit(now)
-	g.pace.ended(now, g.running >= int(g.limit))
+	g.throughput.completed(now, g.running >= int(g.limit))
 }
 
-// Wake makes the gate look again: a connection has become free.
+// Wake makes the gate check its queue again because a connection has become free.
 func (g *Gate) Wake() {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.admit(time.Now())
 }
 
-// admit lets in what may run; the lock is held.
+// admit admits waiting work up to the limit. The lock is held.
 func (g *Gate) admit(now time.Time) {
 	for g.running < int(g.limit) && len(g.waiting) > 0 {
 		next := g.next(now)
@@ -200,50 +196,50 @@
 		}
 		heap.Remove(&g.waiting, next.index)
 		g.running++
-		g.room.entered(next.class)
+		g.reservation.started(next.class)
 		close(next.admitted)
 	}
 }
 
-// next returns the work that is let in next; nil if all that waits lacks a connection.
+// next returns the work to admit next, or nil if all waiting work lacks a connection.
 func (g *Gate) next(now time.Time) *waiter {
 	first := g.first(now)
 	if g.connections == nil {
 		return first
 	}
 	if !g.connections.Available() {
-		return g.firstOf(func(w *waiter) bool { return w.holds })
+		return g.firstOf(func(w *waiter) bool { return w.hasConnection })
 	}
-	reuses := func(w *waiter) bool { return w.holds || g.connections.HasIdle(w.principal) }
+	reuses := func(w *waiter) bool { return w.hasConnection || g.connections.HasIdle(w.principal) }
 	if reuses(first) {
 		return first
 	}
-	full := first.class != Anywhere && g.room.full(int(g.limit))
-	other := g.firstOf(func(w *waiter) bool { return reuses(w) && !(full && w.class == Anywhere) })
+	sharedFull := first.class != Anywhere && g.reservation.sharedFull(int(g.limit))
+	other := g.firstOf(func(w *waiter) bool { return reuses(w) && !(sharedFull && w.class == Anywhere) })
 	if other != nil && other.rank.Before(first.rank.Add(reuseHeadStart)) {
 		return other
 	}
 	return first
 }
 
-// first returns the first work in the order, now and then that which has waited longest. While
-// work that other servers could take fills its room, work that runs only here goes first.
+// first returns the first work in rank order, or the longest waiting work once per agingInterval.
+// While work of class Anywhere uses its whole share, other work goes first.
 func (g *Gate) first(now time.Time) *waiter {
 	first := g.waiting[0]
-	if now.Sub(g.aged) >= agingInterval {
-		g.aged = now
+	if now.Sub(g.lastAged) >= agingInterval {
+		g.lastAged = now
 		return g.oldest()
 	}
-	if first.class != Anywhere || !g.room.full(int(g.limit)) {
+	if first.class != Anywhere || !g.reservation.sharedFull(int(g.limit)) {
 		return first
 	}
-	if kept := g.firstOf(func(w *waiter) bool { return w.class != Anywhere }); kept != nil {
-		return kept
+	if exclusive := g.firstOf(func(w *waiter) bool { return w.class != Anywhere }); exclusive != nil {
+		return exclusive
 	}
 	return first
 }
 
-// oldest returns the work that has waited longest.
+// oldest returns the longest waiting work.
 func (g *Gate) oldest() *waiter {
 	oldest := g.waiting[0]
 	for _, w := range g.waiting {
@@ -254,7 +250,7 @@
 	return oldest
 }
 
-// firstOf returns the first work in the order that fits; nil if there is none.
+// firstOf returns the first work in rank order that fits, or nil if there is none.
 func (g *Gate) firstOf(fits func(*waiter) bool) *waiter {
 	var best *waiter
 	for _, w := range g.waiting {
@@ -265,32 +261,32 @@
 	return best
 }
 
-// Load returns how many are running and waiting.
+// Load returns the numbers of running and waiting work.
 func (g *Gate) Load() (running, waiting int) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.running, len(g.waiting)
 }
 
-// Limit returns the present limit.
+// Limit returns the current limit.
 func (g *Gate) Limit() float64 {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.limit
 }
 
-// waiter is work that waits; index is -1 once it has been let in.
+// waiter is waiting work. index is -1 after it was admitted.
 type waiter struct {
-	rank      time.Time
-	arrived   time.Time
-	class     Class
-	principal string
-	holds     bool
-	admitted  chan struct{}
-	index     int
+	rank          time.Time
+	arrived       time.Time
+	class         Class
+	principal     string
+	hasConnection bool
+	admitted      chan struct{}
+	index         int
 }
 
-// waitingList is a heap of waiters, the first to be let in on top.
+// waitingList is a heap of waiters ordered by rank.
 type waitingList []*waiter
 
 // Len implements heap.Interface.
@@ -307,17 +303,17 @@
 
 // Push implements heap.Interface.
 func (l *waitingList) Push(value any) {
-	place := value.(*waiter)
-	place.index = len(*l)
-	*l = append(*l, place)
+	w := value.(*waiter)
+	w.index = len(*l)
+	*l = append(*l, w)
 }
 
 // Pop implements heap.Interface.
 func (l *waitingList) Pop() any {
 	last := len(*l) - 1
-	place := (*l)[last]
+	w := (*l)[last]
 	(*l)[last] = nil
 	*l = (*l)[:last]
-	place.index = -1
-	return place
+	w.index = -1
+	return w
 }
--- a/internal/proxy/admission/gate_test.go
+++ b/internal/proxy/admission/gate_test.go
@@ -11,10 +11,10 @@
 	"dewknot/internal/base/bubbletest"
 )
 
-func TestGateFindsWhatTheServerBears(t *testing.T) {
+func TestGateAdaptsToServerCapacity(t *testing.T) {
 	gate := NewGate(8, 8)
 	now := time.Unix(1_000_000, 0)
-	const bears = 3
+	const capacity = 3
 	running := 0
 	refusals := 0
 	for step := range 2000 {
@@ -22,7 +22,7 @@
 		if gate.Enter(Request{Arrived: now}, now) {
 			running++
 		}
-		if running > bears {
+		if running > capacity {
 			running--
 			refusals++
 			gate.Leave(Anywhere, Refused, now)
@@ -74,8 +74,9 @@
 	})
 }
 
-// TestGateNeverExceedsItsLimitNorLosesAPlace drives random work through a gate.
-func TestGateNeverExceedsItsLimitNorLosesAPlace(t *testing.T) {
+// TestGateNeverExceedsItsLimitNorLeaksSlots guards against admitting too much and against leaking
+// slots.
+func TestGateNeverExceedsItsLimitNorLeaksSlots(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		highest := rapid.IntRange(1, 8).Draw(t, "highest")
 		gate := NewGate(rapid.IntRange(1, highest).Draw(t, "limit"), highest)
@@ -100,7 +101,7 @@
 			gate.Leave(Anywhere, Other, now)
 		}
 		if !gate.Enter(Request{Arrived: now}, now) {
-			t.Fatal("an empty gate lets nothing in")
+			t.Fatal("an empty gate admits nothing")
 		}
 	})
 }
--- a/internal/proxy/admission/pace_test.go
+++ b/internal/proxy/admission/throughput_test.go
@@ -11,9 +11,9 @@
 	"dewknot/internal/base/bubbletest"
 )
 
-// TestExpectedWaitIsTheWait: of work that waits on a server of an even pace, each is let
-// in about when it was told.
-func TestExpectedWaitIsTheWait(t *testing.T) {
+// TestExpectedWaitMatchesActualWait guards against expected waits that differ from the actual ones
+// on a server with a constant service time.
+func TestExpectedWaitMatchesActualWait(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		const work = 20 * time.Millisecond
 		gate := NewGate(2, 2)
@@ -49,14 +49,14 @@
 	})
 }
 
-// TestExpectedWaitFollowsTheOrder: work of a higher rank waits no longer than other work,
-// more waiting work never makes it shorter, and a free place makes it nothing.
+// TestExpectedWaitFollowsTheOrder guards against a longer wait for work of higher rank, a shorter
+// wait behind a longer queue, and a wait while a slot is free.
 func TestExpectedWaitFollowsTheOrder(t *testing.T) {
 	now := time.Unix(1_000, 0)
 	must.Zero(t, NewGate(1, 1).Wait(Request{Arrived: now}))
 	rapid.Check(t, func(t *rapid.T) {
 		gate := NewGate(1, 1)
-		gate.pace.interval = 10 * time.Millisecond
+		gate.throughput.interval = 10 * time.Millisecond
 		gate.running = 1
 		previous := time.Duration(0)
 		for range rapid.IntRange(0, 20).Draw(t, "waiting") {
@@ -64,10 +64,10 @@
 			urgent := gate.Wait(Request{Class: Continuation, Arrived: now})
 			usual := gate.Wait(Request{Class: Anywhere, Arrived: now})
 			if urgent > usual {
-				t.Fatalf("urgent work waits %v, other %v", urgent, usual)
+				t.Fatalf("urgent work waits for %v, other work for %v", urgent, usual)
 			}
 			if usual < previous {
-				t.Fatalf("more waiting work made it shorter: %v after %v", usual, previous)
+				t.Fatalf("a longer queue shortened the wait: %v after %v", usual, previous)
 			}
 			previous = usual
 		}
--- a/internal/proxy/urgency/urgency_test.go
+++ b/internal/proxy/urgency/urgency_test.go
@@ -10,8 +10,8 @@
 	_ "dewknot/internal/base/propertytest" // fixes the seed
 )
 
-// TestLevelsFollowPriorities: a higher priority is never less urgent than a lower one, and
-// every priority has a level.
+// TestLevelsFollowPriorities guards against a higher priority that is less urgent than a lower one,
+// and against priorities without a level.
 func TestLevelsFollowPriorities(t *testing.T) {
 	must.Eq(t, 0, Of(-3))
 	must.Eq(t, Least, Of(1_000))
@@ -23,14 +23,14 @@
 	})
 }
 
-// TestWorkThatCannotBeAnsweredIsHopeless covers the bounds of objective and deadline.
-func TestWorkThatCannotBeAnsweredIsHopeless(t *testing.T) {
+// TestWorkThatCannotFinishInTime covers the limits of the objective and the deadline.
+func TestWorkThatCannotFinishInTime(t *testing.T) {
 	now := time.Unix(1_000, 0)
 	w := &Work{Arrived: now, Objective: now.Add(500 * time.Millisecond), Deadline: now.Add(2 * time.Second), Cost: 30 * time.Millisecond}
 	must.True(t, w.InTime(now, 470*time.Millisecond))
 	must.False(t, w.InTime(now, 471*time.Millisecond))
-	must.False(t, w.Hopeless(now, 1970*time.Millisecond))
-	must.True(t, w.Hopeless(now, 1971*time.Millisecond))
+	must.False(t, w.CannotFinish(now, 1970*time.Millisecond))
+	must.True(t, w.CannotFinish(now, 1971*time.Millisecond))
 	must.False(t, w.Late(w.Objective))
 	must.True(t, w.Late(w.Objective.Add(1)))
 }
