--- a/internal/proxy/routing/routing.go
+++ b/internal/proxy/routing/routing.go
@@ -1,32 +1,33 @@
 // Package routing chooses the server that runs a read.
 //
-// The choice is made from what a server is expected to take: the way there, the time that
-// statements take there, and the work that waits. What an objective can spare sets the price
-// of going further than needed. Of servers that are about equal, nodes that know the same
-// take different ones, so that they do not all move at once. The package is pure.
+// The choice minimizes the expected cost: the round-trip time, the time that statements take on the
+// server, and the waiting work. A server that is farther away than necessary has a penalty that
+// depends on the time left until the objective. Among servers with about equal cost the choice is
+// random, so that nodes with the same information do not all choose the same one. The package reads
+// no clock and does no I/O.
 package routing
 
 import "time"
 
-// Candidate is a server that could run a read, with what is known of it.
+// Candidate is a server that could run a read, and what is known about it.
 type Candidate struct {
 	SameZone   bool
 	SameRegion bool
 	Primary    bool
-	// Latency is the latency expected of a statement, queueing included; Way is the least
-	// that was seen, which is the way there and back and hardly more. Zero if not known.
+	// Latency is the expected latency of a statement, queueing included. Way is the lowest latency
+	// seen, which is close to the round-trip time. Both are zero if unknown.
 	Latency time.Duration
 	Way     time.Duration
-	// InFlight is this node's work that the server has not answered yet.
+	// InFlight counts this node's requests that the server has not answered yet.
 	InFlight int
-	// Slots is how many statements the server runs at a time; zero if not known.
+	// Slots is how many statements the server runs at a time; zero if unknown.
 	Slots int
-	// Wait is how long new work is known to wait, as the owner of the server's connections
-	// tells or as it waits at this node; zero if nothing recent is known.
+	// Wait is the expected wait of new work, from the owner's load report or from this node's own
+	// queue; zero if nothing recent is known.
 	Wait time.Duration
 	// Covers is set if the server should have the position that the read needs.
 	Covers bool
-	// Avoided servers could not be reached lately, Congested ones refused work.
+	// Avoided servers were recently unreachable, Congested ones have rejected work.
 	Avoided   bool
 	Congested bool
 	Leaving   bool
@@ -34,7 +35,7 @@
 	Tried bool
 }
 
-// Prices of what should not be, as the latency for which it would be worth making.
+// Penalties for a server's state, as added latency.
 const (
 	congestedCost = 150 * time.Millisecond
 	triedCost     = 300 * time.Millisecond
@@ -43,41 +44,40 @@
 	avoidedCost   = 5 * time.Second
 )
 
-// Prices of a longer way, as shares of the time that is left until the objective. A caller
-// is served as well by either server while there is time, and traffic between zones and
-// regions is paid for; as time runs out, only the time counts.
+// Penalties for distance and for the primary, as fractions of the time left until the objective.
+// While there is time, a distant server serves the caller no better, and traffic between zones and
+// regions costs money. With little time left, only latency counts.
 const (
 	otherZoneShare   = 0.01
 	otherRegionShare = 0.03
-	// primaryShare keeps the primary's slots for what only it can run. It is well below the
-	// part of an objective for which new work waits for a slot before it is refused (0.2):
-	// with 0.25, replicas refused 28% of the slowest kind of reads while the primary had
-	// room, with 0.12 12%, by a fixed price of 200 ms 16% (one play each, three servers in a
-	// zone at 55% of their slots).
+	// primaryShare keeps the primary's slots for work that only it can run. It must be well below
+	// the fraction of the objective (0.2) for which new work waits for a slot. Otherwise replicas
+	// reject reads while the primary has free slots.
 	primaryShare = 0.12
 )
 
 const (
-	// assumedSlots are those of a server that tells none.
-	assumedSlots = 4
-	// leastService is the least time that a statement is taken to hold a slot, so that
-	// work in flight counts before anything has been measured.
-	leastService = time.Millisecond
-	// spareShare is by how much, as a share of the time left, a server may be expected to
-	// answer later than the best one and still be drawn. A wait that was told a moment ago
-	// may be over; a draw that errs costs the caller no more than this.
-	spareShare = 0.05
-	// tie is how far two ways may differ and count as equal: estimates of latency that
-	// come from few answers differ by some milliseconds.
-	tie = 5 * time.Millisecond
-	// draws is how many servers are drawn, of which the better one is taken.
-	draws = 2
+	// defaultSlots is used for servers with an unknown number of slots.
+	defaultSlots = 4
+	// minServiceTime is the minimum time that a statement is assumed to use a slot, so that work in
+	// flight counts even before there are samples.
+	minServiceTime = time.Millisecond
+	// toleranceShare is how much longer than the best server, as a fraction of the time left, a
+	// server may be expected to take and still be drawn. The reported wait may already be over. It
+	// also limits the caller's loss by a wrong draw.
+	toleranceShare = 0.05
+	// tieTolerance is the difference up to which two fixed costs count as equal. Latency estimates
+	// from few samples differ by some milliseconds.
+	tieTolerance = 5 * time.Millisecond
+	// drawCount is how many servers are drawn. The best of them is chosen.
+	drawCount = 2
 )
 
-// estimate is what a choice would cost: fixed whatever the server's load, and in all.
+// estimate is the expected cost of a choice: fixed is independent of the server's load, total
+// includes it.
 type estimate struct{ fixed, total time.Duration }
 
-// Cost returns the expected cost of a choice for a read that has a time left until its
+// Cost returns the expected cost of a choice for a read with the given time left until its
 // objective.
 func Cost(c *Candidate, left time.Duration) time.Duration {
 	e := c.estimate(left)
@@ -85,13 +85,13 @@
 }
 
 func (c *Candidate) estimate(left time.Duration) estimate {
-	way := min(c.Way, c.Latency)
-	fixed := way + c.price(max(left, 0))
-	return estimate{fixed: fixed, total: fixed + c.work(way)}
+	rtt := min(c.Way, c.Latency)
+	fixed := rtt + c.penalty(max(left, 0))
+	return estimate{fixed: fixed, total: fixed + c.workTime(rtt)}
 }
 
-// price is what the way and the server's state add to a choice.
-func (c *Candidate) price(left time.Duration) time.Duration {
+// penalty returns the cost added for distance and the server's state.
+func (c *Candidate) penalty(left time.Duration) time.Duration {
 	share := 0.0
 	if !c.SameZone {
 		share += otherZoneShare
@@ -102,7 +102,7 @@
 	if c.Primary {
 		share += primaryShare
 	}
-	price := time.Duration(share * float64(left))
+	penalty := time.Duration(share * float64(left))
 	for _, extra := range []struct {
 		applies bool
 		cost    time.Duration
@@ -114,25 +114,25 @@
 		{c.Avoided, avoidedCost},
 	} {
 		if extra.applies {
-			price += extra.cost
+			penalty += extra.cost
 		}
 	}
-	return price
+	return penalty
 }
 
-// work is how long the statement is expected to wait and run.
-func (c *Candidate) work(way time.Duration) time.Duration {
-	service := max(c.Latency-way, leastService)
+// workTime returns how long the statement is expected to wait and run.
+func (c *Candidate) workTime(rtt time.Duration) time.Duration {
+	service := max(c.Latency-rtt, minServiceTime)
 	rounds := max(1, float64(c.InFlight+1)/float64(c.slots()))
 	return time.Duration(rounds*float64(service)) + c.Wait
 }
 
-// Choose returns the index of the server for a read that has a time left until its
-// objective, -1 if there is none. draw returns a random number from 0 to below n.
+// Choose returns the index of the server for a read with the given time left until its objective,
+// or -1 if there is none. draw returns a random number from 0 to n-1.
 //
-// It draws twice among the servers that may be the best, each as often as it has slots, and
-// takes the better; it may draw one twice. The server that reports call the least loaded
-// would get all nodes' work until the next report.
+// It draws drawCount times among the servers that may be the best, weighted by their slots, and
+// returns the best of those drawn. The same server may be drawn more than once. If all nodes chose
+// the server with the lowest reported load, it would get all their work until the next report.
 func Choose(candidates []Candidate, left time.Duration, draw func(n int) int) int {
 	if len(candidates) == 0 {
 		return -1
@@ -146,23 +146,23 @@
 		}
 	}
 	lowest := estimates[best].total
-	spare := max(tie, time.Duration(spareShare*float64(left)))
-	equal := make([]int, 0, len(candidates))
+	tolerance := max(tieTolerance, time.Duration(toleranceShare*float64(left)))
+	contenders := make([]int, 0, len(candidates))
 	for i, e := range estimates {
-		if e.fixed <= lowest+tie && e.total <= lowest+spare {
-			equal = append(equal, i)
+		if e.fixed <= lowest+tieTolerance && e.total <= lowest+tolerance {
+			contenders = append(contenders, i)
 		}
 	}
-	chosen := pick(candidates, equal, draw)
-	for range draws - 1 {
-		if other := pick(candidates, equal, draw); estimates[other].total < estimates[chosen].total {
+	chosen := pick(candidates, contenders, draw)
+	for range drawCount - 1 {
+		if other := pick(candidates, contenders, draw); estimates[other].total < estimates[chosen].total {
 			chosen = other
 		}
 	}
 	return chosen
 }
 
-// pick draws one of some candidates, each as often as it has slots.
+// pick draws one of the candidates in among, weighted by their slots.
 func pick(candidates []Candidate, among []int, draw func(n int) int) int {
 	all := 0
 	for _, i := range among {
@@ -177,10 +177,10 @@
 	return among[len(among)-1]
 }
 
-// slots is how many statements the server is taken to run at a time.
+// slots returns how many statements the server is assumed to run at a time.
 func (c *Candidate) slots() int {
 	if c.Slots <= 0 {
-		return assumedSlots
+		return defaultSlots
 	}
 	return c.Slots
 }
--- a/internal/proxy/routing/routing_test.go
+++ b/internal/proxy/routing/routing_test.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	usual     = 20 * time.Millisecond
-	objective = 800 * time.Millisecond
+	usualLatency = 20 * time.Millisecond
+	objective    = 800 * time.Millisecond
 )
 
-// chances returns how many of all possible draws choose each candidate.
+// chances returns for each candidate how many of all possible draws choose it.
 func chances(candidates []Candidate, left time.Duration) []int {
 	counts := make([]int, len(candidates))
 	all := 0
@@ -22,7 +22,7 @@
 	}
 	for first := range all {
 		for second := range all {
-			// Draws are spread over what there is to draw from.
+			// The draws cover the range of n evenly.
 			drawn := []int{first, second}
 			counts[Choose(candidates, left, func(n int) int {
 				next := drawn[0] * n / all
@@ -35,8 +35,8 @@
 }
 
 func TestChoiceOfAServer(t *testing.T) {
-	near := Candidate{SameZone: true, SameRegion: true, Latency: usual, Way: usual / 2, Covers: true, Slots: 4}
-	far := Candidate{Latency: 3 * usual, Way: 2 * usual, Covers: true, Slots: 4}
+	near := Candidate{SameZone: true, SameRegion: true, Latency: usualLatency, Way: usualLatency / 2, Covers: true, Slots: 4}
+	far := Candidate{Latency: 3 * usualLatency, Way: 2 * usualLatency, Covers: true, Slots: 4}
 	with := func(candidate Candidate, change func(*Candidate)) Candidate {
 		change(&candidate)
 		return candidate
@@ -54,15 +54,15 @@
 		}, 0},
 		{"one that has the position", []Candidate{with(near, func(c *Candidate) { c.Covers = false }), far}, 1},
 		{"one with less work", []Candidate{with(near, func(c *Candidate) { c.InFlight = 80 }), far}, 1},
-		{"the near one while its wait is shorter than the way", []Candidate{with(near, func(c *Candidate) { c.Wait = 2 * usual }), far}, 0},
-		{"one whose owner tells of no wait", []Candidate{with(near, func(c *Candidate) { c.Wait = 10 * usual }), far}, 1},
+		{"the near one while its wait is shorter than the difference in latency", []Candidate{with(near, func(c *Candidate) { c.Wait = 2 * usualLatency }), far}, 0},
+		{"one whose owner reports no wait", []Candidate{with(near, func(c *Candidate) { c.Wait = 10 * usualLatency }), far}, 1},
 		{"one with more slots", []Candidate{
 			with(near, func(c *Candidate) { c.Slots, c.InFlight = 2, 40 }), with(near, func(c *Candidate) { c.Slots, c.InFlight = 8, 40 }),
 		}, 1},
-		{"one that has not refused", []Candidate{with(near, func(c *Candidate) { c.Congested = true }), far}, 1},
+		{"one that is not congested", []Candidate{with(near, func(c *Candidate) { c.Congested = true }), far}, 1},
 		{"one that was not tried", []Candidate{with(near, func(c *Candidate) { c.Tried = true }), far}, 1},
-		{"one that stays", []Candidate{with(near, func(c *Candidate) { c.Leaving = true }), far}, 1},
-		{"one that is reached", []Candidate{with(near, func(c *Candidate) { c.Avoided = true }), with(far, func(c *Candidate) { c.Leaving = true })}, 1},
+		{"one that is not leaving", []Candidate{with(near, func(c *Candidate) { c.Leaving = true }), far}, 1},
+		{"one that is reachable", []Candidate{with(near, func(c *Candidate) { c.Avoided = true }), with(far, func(c *Candidate) { c.Leaving = true })}, 1},
 		{"the only one", []Candidate{with(far, func(c *Candidate) { c.Avoided, c.Leaving, c.Covers = true, true, false })}, 0},
 	} {
 		for _, first := range []func(int) int{func(int) int { return 0 }, func(n int) int { return n - 1 }} {
@@ -71,8 +71,8 @@
 	}
 }
 
-// TestWorseIsNeverPreferred: making a candidate worse in one way never makes it
-// the choice.
+// TestWorseIsNeverPreferred guards against choosing a candidate more often after one of its
+// properties got worse.
 func TestWorseIsNeverPreferred(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(label string) Candidate {
@@ -103,14 +103,14 @@
 		}
 		left := time.Duration(rapid.IntRange(-100, 2000).Draw(t, "left")) * time.Millisecond
 		if before, after := chances([]Candidate{second, first}, left), chances([]Candidate{second, worse}, left); after[1] > before[1] {
-			t.Fatalf("%+v has %v of the draws beside %+v, %v before it became worse", worse, after, second, before)
+			t.Fatalf("%+v gets %v draws against %+v, and %v before it got worse", worse, after, second, before)
 		}
 	})
 }
 
-// TestTimeThatIsLeftPaysForTheWay: while there is time, a read stays in its region and away
-// from the primary; when its objective is near, it goes where it is answered first.
-func TestTimeThatIsLeftPaysForTheWay(t *testing.T) {
+// TestDistanceIsAvoidedWhileThereIsTime guards against using remote servers or the primary while
+// there is time, and against avoiding them when the objective is near.
+func TestDistanceIsAvoidedWhileThereIsTime(t *testing.T) {
 	slow := Candidate{SameZone: true, SameRegion: true, Covers: true, Latency: 60 * time.Millisecond, Way: time.Millisecond}
 	far := Candidate{Covers: true, Latency: 45 * time.Millisecond, Way: 40 * time.Millisecond}
 	primary := Candidate{SameZone: true, SameRegion: true, Covers: true, Primary: true, Latency: 6 * time.Millisecond, Way: time.Millisecond}
