--- a/internal/proxy/freshness/place_test.go
+++ b/internal/proxy/freshness/destination_test.go
@@ -10,8 +10,8 @@
 	"dewknot/internal/base/position"
 )
 
-// TestReadsWaitForReplicasOnlyInTime: a read waits for a replica only while work waits for the
-// primary, and only if it can be answered in time there; it never waits on a mere guess.
+// TestReadsWaitForReplicasOnlyInTime guards against reads that wait for a replica without need, too
+// long, or without an estimate.
 func TestReadsWaitForReplicasOnlyInTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		milliseconds := func(name string) time.Duration {
@@ -21,19 +21,19 @@
 			PrimaryWait: milliseconds("primary"), PrimaryKnown: rapid.Bool().Draw(t, "known"), CatchUp: milliseconds("catch up"),
 			ReplicaKnown: rapid.Bool().Draw(t, "replica"), Allowed: milliseconds("allowed"), Left: milliseconds("left"),
 		}
-		place := p.Choose()
-		short := p.PrimaryKnown && p.PrimaryWait > 0
-		if place == AwaitReplica && (!short || !p.ReplicaKnown || p.CatchUp > p.Left/2) {
-			t.Fatalf("waits in vain: %+v", p)
+		destination := p.Choose()
+		primaryBusy := p.PrimaryKnown && p.PrimaryWait > 0
+		if destination == AwaitReplica && (!primaryBusy || !p.ReplicaKnown || p.CatchUp > p.Left/2) {
+			t.Fatalf("waits for a replica without need or too long: %+v", p)
 		}
-		if place == OnPrimary && short && p.PrimaryWait > p.Allowed && p.ReplicaKnown && p.CatchUp <= p.Left/2 {
-			t.Fatalf("refused by the primary though a replica has it in time: %+v", p)
+		if destination == OnPrimary && primaryBusy && p.PrimaryWait > p.Allowed && p.ReplicaKnown && p.CatchUp <= p.Left/2 {
+			t.Fatalf("sent to the overloaded primary although a replica catches up in time: %+v", p)
 		}
 	})
 }
 
-// TestLackingIsTheEarliestProof: a server lacks what the primary had since the earliest proof
-// that its position does not cover; proofs of another term tell nothing.
+// TestLackingIsTheEarliestProof guards against a result other than the earliest proof that the
+// position does not cover, and against using proofs of another term.
 func TestLackingIsTheEarliestProof(t *testing.T) {
 	start := time.Unix(1_000, 0)
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/proxy/freshness/freshness.go
+++ b/internal/proxy/freshness/freshness.go
@@ -1,11 +1,9 @@
-// Package freshness computes the log position that a read must see.
+// Package freshness computes the minimum log position that a read must see.
 //
-// A proof is a position that a server reported while it surely was the primary,
-// together with a time before which the question was sent. Every commit that
-// was acknowledged before that time and is still part of the log is covered by
-// the position: the primary holds every such commit, and a promotion replaces
-// the primary in one moment, so no other server can acknowledge commits while
-// it is the primary.
+// A proof is a position that a server reported while it was known to be the primary, and a time
+// before the request for it was sent. The position covers every commit that was acknowledged before
+// that time and is still in the log: the primary has all these commits, and a promotion replaces
+// the primary atomically, so no other server can acknowledge commits while it is the primary.
 package freshness
 
 import (
@@ -15,26 +13,26 @@
 	"dewknot/internal/base/position"
 )
 
-// Proof is a primary's position and the time at which the question for it was sent.
+// Proof is a primary's position and the time at which the request for it was sent.
 type Proof struct {
 	At       time.Time
 	Position position.Position
 }
 
-// OwnCommit is the newest commit of a session and when its answer was received.
+// OwnCommit is the newest commit of a session and the time when its answer was received.
 type OwnCommit struct {
 	At       time.Time
 	Position position.Position
 }
 
-// Floor is the position a read must see. Since is a time at which the primary's
-// log had surely reached it.
+// Floor is the minimum position that a read must see. Since is a time at which the primary's log
+// had reached it.
 type Floor struct {
 	Position position.Position
 	Since    time.Time
 }
 
-// ringSize bounds the proofs kept; with one each resolution they span 3.2 s.
+// ringSize is the maximum number of proofs kept. At one per resolution they cover 3.2 s.
 const (
 	ringSize   = 64
 	resolution = 50 * time.Millisecond
@@ -49,7 +47,7 @@
 	newest Proof
 }
 
-// Add takes a proof. Older ones than the newest add nothing and are dropped.
+// Add records a proof. It ignores proofs that are not newer than the newest one.
 func (p *Proofs) Add(proof Proof) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -74,8 +72,7 @@
 	return p.newest
 }
 
-// Oldest returns the oldest proof that is not before a time, which asks least
-// of replicas.
+// Oldest returns the oldest proof that is not before a time. Replicas reach its position first.
 func (p *Proofs) Oldest(notBefore time.Time) (Proof, bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -88,32 +85,32 @@
 	return p.newest, !p.newest.At.IsZero() && !p.newest.At.Before(notBefore)
 }
 
-// Floor returns what a read must see that began at a time and may miss commits
-// acknowledged in the span before it, but none of its own session. It reports
-// false if no proof is new enough; the primary has to be asked.
-func (p *Proofs) Floor(began time.Time, span time.Duration, own OwnCommit) (Floor, bool) {
-	proof, found := p.Oldest(began.Add(-span))
+// Floor returns the minimum position for a read that began at a time. The read may miss commits
+// acknowledged within the window before that, but not its own session's commits. It returns false
+// if no proof is recent enough; the primary must then be asked.
+func (p *Proofs) Floor(began time.Time, window time.Duration, own OwnCommit) (Floor, bool) {
+	proof, found := p.Oldest(began.Add(-window))
 	if !found {
 		return Floor{}, false
 	}
 	newest := p.Newest()
 	if newest.Position.Term != proof.Position.Term {
-		// A promotion may have removed the older proof's position from the log,
-		// so that no server would ever have it.
+		// A promotion may have removed the older proof's position from the log, so that no server
+		// would ever reach it.
 		proof = newest
 	}
-	floor := Floor{Position: proof.Position, Since: proof.At}
+	minimum := Floor{Position: proof.Position, Since: proof.At}
 	if own.At.IsZero() || !proof.At.Before(own.At) {
-		// The proof was asked for after the commit's answer, so it covers the
-		// commit, or a promotion has removed the commit from the log.
-		return floor, true
+		// The proof was requested after the commit's answer, so it covers the commit, or a
+		// promotion has removed the commit from the log.
+		return minimum, true
 	}
 	if own.At.Before(newest.At) && newest.Position.Less(own.Position) {
-		// The log of the newest primary lacks the commit: it was rolled back.
+		// The newest primary's log lacks the commit: it was rolled back.
 		return Floor{Position: newest.Position, Since: newest.At}, true
 	}
-	if floor.Position.Less(own.Position) {
-		floor = Floor{Position: own.Position, Since: own.At}
+	if minimum.Position.Less(own.Position) {
+		minimum = Floor{Position: own.Position, Since: own.At}
 	}
-	return floor, true
+	return minimum, true
 }
--- a/internal/proxy/freshness/freshness_test.go
+++ b/internal/proxy/freshness/freshness_test.go
@@ -19,36 +19,36 @@
 	return position.Position{Term: term, Offset: offset}
 }
 
-func TestFloorNeedsARecentProof(t *testing.T) {
+func TestMinimumPositionNeedsRecentProof(t *testing.T) {
 	var proofs Proofs
 	_, found := proofs.Floor(at(0), time.Second, OwnCommit{})
 	must.False(t, found)
 	proofs.Add(Proof{At: at(0), Position: pos(1, 10)})
 	_, found = proofs.Floor(at(1001), time.Second, OwnCommit{})
 	must.False(t, found)
-	floor, found := proofs.Floor(at(1000), time.Second, OwnCommit{})
+	minimum, found := proofs.Floor(at(1000), time.Second, OwnCommit{})
 	must.True(t, found)
-	must.Eq(t, pos(1, 10), floor.Position)
+	must.Eq(t, pos(1, 10), minimum.Position)
 }
 
-func TestFloorAsksAsLittleAsAllowed(t *testing.T) {
+func TestMinimumPositionIsOldestAllowed(t *testing.T) {
 	var proofs Proofs
 	for i := range 20 {
 		proofs.Add(Proof{At: at(100 * i), Position: pos(1, uint64(i))})
 	}
-	floor, found := proofs.Floor(at(1900), time.Second, OwnCommit{})
+	minimum, found := proofs.Floor(at(1900), time.Second, OwnCommit{})
 	must.True(t, found)
-	must.Eq(t, pos(1, 9), floor.Position)
+	must.Eq(t, pos(1, 9), minimum.Position)
 }
 
-func TestFloorHoldsTheOwnCommit(t *testing.T) {
+func TestMinimumPositionCoversOwnCommit(t *testing.T) {
 	var proofs Proofs
 	proofs.Add(Proof{At: at(0), Position: pos(1, 10)})
 	own := OwnCommit{At: at(500), Position: pos(1, 20)}
-	floor, found := proofs.Floor(at(600), time.Second, own)
+	minimum, found := proofs.Floor(at(600), time.Second, own)
 	must.True(t, found)
-	must.Eq(t, pos(1, 20), floor.Position)
-	must.Eq(t, at(500), floor.Since)
+	must.Eq(t, pos(1, 20), minimum.Position)
+	must.Eq(t, at(500), minimum.Since)
 }
 
 func TestOwnCommitThatWasRolledBackIsNotAwaited(t *testing.T) {
@@ -56,29 +56,29 @@
 	proofs.Add(Proof{At: at(0), Position: pos(1, 10)})
 	own := OwnCommit{At: at(500), Position: pos(1, 20)}
 	proofs.Add(Proof{At: at(900), Position: pos(2, 15)})
-	floor, found := proofs.Floor(at(950), time.Second, own)
+	minimum, found := proofs.Floor(at(950), time.Second, own)
 	must.True(t, found)
-	must.Eq(t, pos(2, 15), floor.Position)
+	must.Eq(t, pos(2, 15), minimum.Position)
 
-	// The same where the new primary has not written in its own term yet.
+	// The same if the new primary has not written in its own term yet.
 	var same Proofs
 	same.Add(Proof{At: at(0), Position: pos(1, 10)})
 	same.Add(Proof{At: at(900), Position: pos(1, 15)})
-	floor, found = same.Floor(at(950), time.Second, own)
+	minimum, found = same.Floor(at(950), time.Second, own)
 	must.True(t, found)
-	must.Eq(t, pos(1, 15), floor.Position)
+	must.Eq(t, pos(1, 15), minimum.Position)
 }
 
-func TestProofsOfAnOlderTermAreLeftAfterAPromotion(t *testing.T) {
+func TestProofsOfOlderTermsAreIgnoredAfterPromotion(t *testing.T) {
 	var proofs Proofs
 	proofs.Add(Proof{At: at(0), Position: pos(1, 20)})
 	proofs.Add(Proof{At: at(500), Position: pos(2, 15)})
-	floor, found := proofs.Floor(at(600), time.Second, OwnCommit{})
+	minimum, found := proofs.Floor(at(600), time.Second, OwnCommit{})
 	must.True(t, found)
-	must.Eq(t, pos(2, 15), floor.Position)
+	must.Eq(t, pos(2, 15), minimum.Position)
 }
 
-// logModel is a service's log under commits and promotions, as a reference.
+// logModel is a reference model of a service's log with commits and promotions.
 type logModel struct {
 	commits []modelCommit
 	term    uint64
@@ -101,9 +101,9 @@
 }
 
 func (m *logModel) commit() modelCommit {
-	made := modelCommit{at: m.now, position: pos(m.term, m.head().Offset+1)}
-	m.commits = append(m.commits, made)
-	return made
+	created := modelCommit{at: m.now, position: pos(m.term, m.head().Offset+1)}
+	m.commits = append(m.commits, created)
+	return created
 }
 
 // promote removes the newest commits from the log.
@@ -117,10 +117,9 @@
 	m.term++
 }
 
-// TestFloorCoversEveryCommitOwed drives random histories of commits, proofs and
-// promotions, and checks that a server which has the floor has every surviving
-// commit that the read is owed.
-func TestFloorCoversEveryCommitOwed(t *testing.T) {
+// TestMinimumPositionCoversRequiredCommits guards against a minimum position that lacks a commit
+// which the read must see, after any sequence of commits, proofs and promotions.
+func TestMinimumPositionCoversRequiredCommits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		model := logModel{term: 1}
 		var proofs Proofs
@@ -135,20 +134,20 @@
 			case 1, 2, 3:
 				proofs.Add(Proof{At: at(model.now), Position: model.head()})
 			case 4:
-				made := model.commit()
-				own, ownIndex = OwnCommit{At: at(model.now), Position: made.position}, len(model.commits)-1
+				created := model.commit()
+				own, ownIndex = OwnCommit{At: at(model.now), Position: created.position}, len(model.commits)-1
 			default:
 				model.commit()
 			}
-			span := rapid.IntRange(50, 2000).Draw(t, "span")
-			floor, found := proofs.Floor(at(model.now), time.Duration(span)*time.Millisecond, own)
+			window := rapid.IntRange(50, 2000).Draw(t, "span")
+			minimum, found := proofs.Floor(at(model.now), time.Duration(window)*time.Millisecond, own)
 			if !found {
 				continue
 			}
 			for i, commit := range model.commits {
-				owed := commit.at < model.now-span || i == ownIndex
-				if owed && !commit.lost && floor.Position.Less(commit.position) {
-					t.Fatalf("floor %v at %d (span %d) lacks commit %+v", floor.Position, model.now, span, commit)
+				required := commit.at < model.now-window || i == ownIndex
+				if required && !commit.lost && minimum.Position.Less(commit.position) {
+					t.Fatalf("minimum position %v at %d (window %d) lacks commit %+v", minimum.Position, model.now, window, commit)
 				}
 			}
 		}
