--- a/internal/proxy/cold/cold_test.go
+++ b/internal/proxy/cold/cold_test.go
@@ -10,8 +10,8 @@
 	_ "dewknot/internal/base/propertytest" // fixes the seed
 )
 
-// TestBoundHoldsInAnySecond: whatever two senders are asked to send that do not know of each
-// other, no second holds more than the bound, and once the server is warm nothing is held back.
+// TestBoundHoldsInAnySecond guards against exceeding the limit in any second with two independent
+// senders, and against throttling once the server is warm.
 func TestBoundHoldsInAnySecond(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		bound := Bound{
@@ -46,16 +46,16 @@
 	})
 }
 
-func TestNewWorkLeavesRoomForTransactions(t *testing.T) {
+func TestNewWorkLeavesHeadroomForTransactions(t *testing.T) {
 	var l Limiter
 	now := time.Unix(1000, 0)
 	l.Observe(now, time.Minute)
 	bound := Bound{PerSecond: 20, Overage: 1}
-	fresh := 0
+	newWork := 0
 	for l.Take(now, bound, false) {
-		fresh++
+		newWork++
 	}
-	must.Eq(t, 7, fresh)
+	must.Eq(t, 7, newWork)
 	must.True(t, l.Take(now, bound, true))
 	must.True(t, l.Take(now.Add(2*window), bound, false))
 }
