--- a/internal/proxy/told/told_test.go
+++ b/internal/proxy/told/loadreport_test.go
@@ -16,39 +16,39 @@
 	return [urgency.Levels]uint16{milliseconds, milliseconds, milliseconds, milliseconds}
 }
 
-// TestKnowledgeFades: what was told says less as it ages, and nothing at the end of its
-// life; a clock that jumped back makes nothing known.
-func TestKnowledgeFades(t *testing.T) {
+// TestReportedWaitDecays guards against using a reported wait undiminished or after it expired, and
+// against using any after the clock was set back.
+func TestReportedWaitDecays(t *testing.T) {
 	start := time.Unix(1_000, 0)
 	v := &View{}
-	_, known := v.Wait(start, 0)
-	must.False(t, known)
+	_, ok := v.Wait(start, 0)
+	must.False(t, ok)
 	v.Observe(start, &Report{Life: 1, Sequence: 1, Waits: waits(100), Kept: waits(40)})
 	for _, at := range []struct{ age, wait, kept time.Duration }{
 		{0, 100, 40}, {Life / 4, 75, 30}, {Life / 2, 50, 20}, {3 * Life / 4, 25, 10},
 	} {
-		wait, known := v.Wait(start.Add(at.age), 1)
-		must.True(t, known)
+		wait, ok := v.Wait(start.Add(at.age), 1)
+		must.True(t, ok)
 		must.Eq(t, at.wait*time.Millisecond, wait)
 		kept, _ := v.WaitOnlyHere(start.Add(at.age), 1)
 		must.Eq(t, at.kept*time.Millisecond, kept)
 	}
-	_, known = v.Wait(start.Add(Life), 1)
-	must.False(t, known)
-	_, known = v.Wait(start.Add(-time.Millisecond), 1)
-	must.False(t, known)
+	_, ok = v.Wait(start.Add(Life), 1)
+	must.False(t, ok)
+	_, ok = v.Wait(start.Add(-time.Millisecond), 1)
+	must.False(t, ok)
 }
 
-// TestOvertakenReportsAreLeft: of one process the highest sequence counts; what another
-// process told counts only if it was asked for later.
-func TestOvertakenReportsAreLeft(t *testing.T) {
+// TestOlderReportsAreIgnored guards against replacing a report by an older one of the same
+// incarnation or of another.
+func TestOlderReportsAreIgnored(t *testing.T) {
 	start := time.Unix(1_000, 0)
 	later := start.Add(10 * time.Millisecond)
 	v := &View{}
 	expect := func(milliseconds time.Duration) {
 		t.Helper()
-		report, _, known := v.Newest(later)
-		must.True(t, known)
+		report, _, ok := v.Newest(later)
+		must.True(t, ok)
 		must.Eq(t, milliseconds, time.Duration(report.Waits[0]))
 	}
 	v.Observe(start, &Report{Life: 1, Sequence: 5, Waits: waits(50)})
@@ -62,8 +62,8 @@
 	expect(10)
 }
 
-// TestReportsSurviveTheWire: all but the life arrives, in few bytes.
-func TestReportsSurviveTheWire(t *testing.T) {
+// TestReportRoundTrip guards against losing fields in encoding, and against a large encoding.
+func TestReportRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sent := Report{
 			Sequence: rapid.Uint64().Draw(t, "sequence"), Running: rapid.Uint16().Draw(t, "running"), Waiting: rapid.Uint16().Draw(t, "waiting"),
