--- a/internal/proxy/objectstore/cache.go
+++ b/internal/proxy/objectstore/cache.go
@@ -11,8 +11,8 @@
 	"dewknot/internal/base/era"
 )
 
-// Cache keeps what a sink was told of one kind, passes it on, and answers
-// listings and watches of other nodes from it. It is safe for concurrent use.
+// Cache is a Sink that stores the objects of one kind, forwards each call to the next sink, and
+// answers listings and watches of other nodes. It is safe for concurrent use.
 type Cache struct {
 	next Sink
 
@@ -20,31 +20,31 @@
 	listed   bool
 	revision era.Revision
 	objects  map[string]Object
-	// deleted keeps removals that watchers may not have seen.
+	// deleted holds recent removals for watchers that may not have received them.
 	deleted []Object
 	changed chan struct{}
-	// confirmed is when the store itself last answered.
-	confirmed time.Time
-	// versions are the bases of patches.
+	// confirmedAt is when the store itself last answered.
+	confirmedAt time.Time
+	// versions holds the base versions of patches.
 	versions *versions
-	// beforeEra is up to where changes were known when the present era began here.
-	beforeEra era.Revision
-	// outdates is nil if what is listed in a later era counts whatever it says.
-	outdates func(known, listed []byte) bool
+	// previousEraEnd is the last revision of the previous era that this cache received.
+	previousEraEnd era.Revision
+	// isNewer is nil if content of a later era always replaces the cached content.
+	isNewer func(cached, listed []byte) bool
 }
 
-// keptRemovals bounds the removals that a cache remembers.
-const keptRemovals = 256
+// maxRemovals limits the removals that a cache remembers.
+const maxRemovals = 256
 
-// NewCache returns an empty cache before a sink.
+// NewCache returns an empty cache that forwards to next.
 func NewCache(next Sink) *Cache {
 	return &Cache{next: next, objects: map[string]Object{}, changed: make(chan struct{}), versions: newVersions()}
 }
 
-// KeepNewest makes the cache keep and pass on what it knows of an object, whatever a store
-// that came back from an older copy says, while outdates reports that the listed content is
-// older than the known one. It is called before the cache is used.
-func (c *Cache) KeepNewest(outdates func(known, listed []byte) bool) { c.outdates = outdates }
+// KeepNewest prevents a store that was restored from an older copy from replacing newer content: as
+// long as isNewer reports that the cached content is newer than the listed one, the cache keeps and
+// forwards the cached content. It must be called before the cache is used.
+func (c *Cache) KeepNewest(isNewer func(cached, listed []byte) bool) { c.isNewer = isNewer }
 
 // Reset implements Sink.
 func (c *Cache) Reset(objects []Object, revision era.Revision) {
@@ -54,19 +54,19 @@
 	}
 	c.listed = true
 	c.revision = max(c.revision, revision)
-	kept := make(map[string]Object, len(objects))
+	byName := make(map[string]Object, len(objects))
 	for _, object := range objects {
-		kept[object.Name] = object
+		byName[object.Name] = object
 	}
 	for name, object := range c.objects {
-		listed, found := kept[name]
+		listed, found := byName[name]
 		if !found {
-			c.remove(object, revision)
+			c.recordRemoval(object, revision)
 			continue
 		}
-		c.replaced(&object, &listed)
+		c.keepReplaced(&object, &listed)
 	}
-	c.objects = kept
+	c.objects = byName
 	c.wake()
 	c.mutex.Unlock()
 	c.next.Reset(objects, revision)
@@ -82,12 +82,13 @@
 	for _, event := range events {
 		if event.Deleted {
 			delete(c.objects, event.Name)
-			// The event's own revision may be that of the object's last change.
-			c.remove(event, revision)
+			// The event's own revision may be that of the object's last change, so it isn't used
+			// here.
+			c.recordRemoval(event, revision)
 			continue
 		}
-		known := c.objects[event.Name]
-		c.replaced(&known, &event)
+		cached := c.objects[event.Name]
+		c.keepReplaced(&cached, &event)
 		c.objects[event.Name] = event
 	}
 	if len(events) > 0 {
@@ -97,54 +98,55 @@
 	c.next.Apply(events, revision)
 }
 
-// enterEra notes that changes up to a revision are known, and reports whether it is the first
-// one of a later era; the lock is held.
+// enterEra reports whether a revision is the first one of a later era, and then records where the
+// previous era ended. The caller must hold the mutex.
 func (c *Cache) enterEra(revision era.Revision) bool {
 	if !c.listed || revision.Era() <= c.revision.Era() {
 		return false
 	}
-	c.beforeEra = c.revision
+	c.previousEraEnd = c.revision
 	return true
 }
 
-// carryOver returns the objects of the first listing of an era as they count here; the lock
-// is held. What has not changed keeps its revision, so that nodes which knew it in the
-// earlier era are not told of it again: the whole directory would else be told to each.
+// carryOver merges the first listing of an era with the cached objects. Unchanged objects keep their
+// revision of the earlier era; otherwise watchers that have them already would receive the whole
+// directory again. With KeepNewest, objects missing in the listing are kept at its revision. The
+// caller must hold the mutex.
 func (c *Cache) carryOver(listed []Object, revision era.Revision) []Object {
 	carried := c.keepNewest(listed)
 	found := make(map[string]bool, len(listed))
 	for i := range carried {
 		found[carried[i].Name] = true
-		if known, is := c.objects[carried[i].Name]; is && bytes.Equal(known.Content, carried[i].Content) {
-			carried[i] = known
+		if cached, ok := c.objects[carried[i].Name]; ok && bytes.Equal(cached.Content, carried[i].Content) {
+			carried[i] = cached
 		}
 	}
-	if c.outdates == nil {
+	if c.isNewer == nil {
 		return carried
 	}
-	for name, known := range c.objects {
+	for name, cached := range c.objects {
 		if !found[name] {
-			known.Revision = revision
-			carried = append(carried, known)
+			cached.Revision = revision
+			carried = append(carried, cached)
 		}
 	}
 	return carried
 }
 
-// keepNewest puts the known content of objects in place of one that it outdates; the lock is
-// held.
-func (c *Cache) keepNewest(told []Object) []Object {
-	if c.outdates == nil {
-		return slices.Clone(told)
+// keepNewest replaces the content of changed objects by the cached content where that is newer, and
+// omits removals of cached objects. It does so only with KeepNewest. The caller must hold the mutex.
+func (c *Cache) keepNewest(changes []Object) []Object {
+	if c.isNewer == nil {
+		return slices.Clone(changes)
 	}
-	kept := make([]Object, 0, len(told))
-	for _, object := range told {
-		known, found := c.objects[object.Name]
+	kept := make([]Object, 0, len(changes))
+	for _, object := range changes {
+		cached, found := c.objects[object.Name]
 		if found && object.Deleted {
 			continue
 		}
-		if found && c.outdates(known.Content, object.Content) {
-			object.Content = known.Content
+		if found && c.isNewer(cached.Content, object.Content) {
+			object.Content = cached.Content
 		}
 		kept = append(kept, object)
 	}
@@ -154,7 +156,7 @@
 // Confirmed implements Sink.
 func (c *Cache) Confirmed(now time.Time) {
 	c.mutex.Lock()
-	c.confirmed = now
+	c.confirmedAt = now
 	c.mutex.Unlock()
 	c.next.Confirmed(now)
 }
@@ -163,7 +165,7 @@
 func (c *Cache) Age() time.Duration {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return time.Since(c.confirmed)
+	return time.Since(c.confirmedAt)
 }
 
 // Lost implements Sink.
@@ -172,21 +174,21 @@
 // Regained implements Sink.
 func (c *Cache) Regained() { c.next.Regained() }
 
-// remove remembers a removal; the lock is held.
-func (c *Cache) remove(object Object, revision era.Revision) {
+// recordRemoval remembers a removal for watchers. The caller must hold the mutex.
+func (c *Cache) recordRemoval(object Object, revision era.Revision) {
 	object.Deleted, object.Revision, object.Content = true, revision, nil
 	c.deleted = append(c.deleted, object)
 	c.versions.drop(object.Name)
-	if len(c.deleted) > keptRemovals {
-		c.deleted = c.deleted[len(c.deleted)-keptRemovals:]
+	if len(c.deleted) > maxRemovals {
+		c.deleted = c.deleted[len(c.deleted)-maxRemovals:]
 	}
 }
 
-// replaced keeps the version that another one replaces as a base of patches; the
-// lock is held.
-func (c *Cache) replaced(older, newer *Object) {
+// keepReplaced stores a version that is being replaced as a base of patches. The caller must hold
+// the mutex.
+func (c *Cache) keepReplaced(older, newer *Object) {
 	if older.Revision < newer.Revision {
-		c.versions.keep(*older)
+		c.versions.add(*older)
 	}
 }
 
@@ -195,25 +197,25 @@
 	c.changed = make(chan struct{})
 }
 
-var errNothingListed = &Error{Outcome: NotDone, Detail: "the node has listed nothing yet"}
+var errNotListed = &Error{Outcome: NotDone, Detail: "the node has no listing yet"}
 
-// Revision returns the revision up to which changes are known, or an error if none
-// were ever listed.
+// Revision returns the revision up to which all changes are known. It fails before the first
+// listing.
 func (c *Cache) Revision() (era.Revision, error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if !c.listed {
-		return 0, errNothingListed
+		return 0, errNotListed
 	}
 	return c.revision, nil
 }
 
-// List returns all objects, or an error if none were ever listed.
+// List returns all objects ordered by name. It fails before the first listing.
 func (c *Cache) List() ([]Object, era.Revision, error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if !c.listed {
-		return nil, 0, errNothingListed
+		return nil, 0, errNotListed
 	}
 	objects := make([]Object, 0, len(c.objects))
 	for _, object := range c.objects {
@@ -223,7 +225,7 @@
 	return objects, c.revision, nil
 }
 
-// AwaitListed waits up to wait until anything was listed.
+// AwaitListed waits for the first listing, at most for wait.
 func (c *Cache) AwaitListed(ctx context.Context, wait time.Duration) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -244,18 +246,19 @@
 	}
 }
 
-// Watch waits up to wait for changes after a revision.
+// Watch returns the changes after a revision. If there are none yet, it waits for them, at most for
+// wait.
 func (c *Cache) Watch(ctx context.Context, after era.Revision, wait time.Duration) ([]Object, era.Revision, error) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
-		events, revision, changed, err := c.since(after)
+		events, revision, changed, err := c.changesSince(after)
 		if err != nil || len(events) > 0 {
 			return events, revision, err
 		}
 		select {
 		case <-ctx.Done():
-			return nil, 0, &Error{Outcome: Unknown, Detail: "the watch was ended"}
+			return nil, 0, &Error{Outcome: Unknown, Detail: "the watch was canceled"}
 		case <-timer.C:
 			return nil, revision, nil
 		case <-changed:
@@ -263,17 +266,17 @@
 	}
 }
 
-func (c *Cache) since(after era.Revision) ([]Object, era.Revision, chan struct{}, error) {
+func (c *Cache) changesSince(after era.Revision) ([]Object, era.Revision, chan struct{}, error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if !c.listed {
-		return nil, 0, nil, errNothingListed
+		return nil, 0, nil, errNotListed
 	}
 	if after.Era() > c.revision.Era() {
-		return nil, 0, nil, &Error{Outcome: NotDone, Detail: "the node knows an earlier era of the store only"}
+		return nil, 0, nil, &Error{Outcome: NotDone, Detail: "the node knows only an earlier era of the store"}
 	}
-	if after < c.oldestKnown() || c.beyondCopy(after) {
-		return nil, 0, nil, &Error{Outcome: HistoryGone, Detail: "the node does not know all changes since then"}
+	if after < c.oldestWatchable() || c.beyondPreviousEra(after) {
+		return nil, 0, nil, &Error{Outcome: HistoryGone, Detail: "the node does not know all changes since that revision"}
 	}
 	var events []Object
 	for _, object := range c.objects {
@@ -282,7 +285,7 @@
 		}
 	}
 	for _, object := range c.deleted {
-		if _, back := c.objects[object.Name]; !back && object.Revision > after {
+		if _, present := c.objects[object.Name]; !present && object.Revision > after {
 			events = append(events, object)
 		}
 	}
@@ -290,15 +293,16 @@
 	return events, c.revision, c.changed, nil
 }
 
-// beyondCopy reports whether a revision is of an earlier era and later than what this cache
-// knew of that era: what has changed in between is not known here to have been undone.
-func (c *Cache) beyondCopy(after era.Revision) bool {
-	return after.Era() < c.revision.Era() && after > c.beforeEra
+// beyondPreviousEra reports whether a revision belongs to an earlier era and is later than the last
+// one that this cache received of that era. The cache then doesn't know which changes in between
+// the restore of the store has undone.
+func (c *Cache) beyondPreviousEra(after era.Revision) bool {
+	return after.Era() < c.revision.Era() && after > c.previousEraEnd
 }
 
-// oldestKnown is the revision since which no removal was forgotten.
-func (c *Cache) oldestKnown() era.Revision {
-	if len(c.deleted) < keptRemovals {
+// oldestWatchable returns the earliest revision from which all later removals are still remembered.
+func (c *Cache) oldestWatchable() era.Revision {
+	if len(c.deleted) < maxRemovals {
 		return 0
 	}
 	return c.deleted[0].Revision
--- a/internal/proxy/objectstore/follow.go
+++ b/internal/proxy/objectstore/follow.go
@@ -9,68 +9,67 @@
 	"dewknot/internal/base/stall"
 )
 
-// Sink receives the objects of one kind, in the order of their revisions.
+// Sink receives the objects of one kind, ordered by revision.
 type Sink interface {
-	// Reset replaces all that is known by a complete listing at a revision.
+	// Reset replaces all known objects by a complete listing as of a revision.
 	Reset(objects []Object, revision era.Revision)
-	// Apply takes changes since the last call, complete up to a revision.
+	// Apply receives all changes since the last call, up to a revision.
 	Apply(events []Object, revision era.Revision)
-	// Confirmed tells that the store itself began to answer at a time, so that all
-	// changes up to then are known.
+	// Confirmed reports that the store itself answered. The answer began at now, so all changes up
+	// to then are known.
 	Confirmed(now time.Time)
-	// Lost and Regained tell when the store stops and starts to answer.
+	// Lost is called when the store stops answering, and Regained when it answers again.
 	Lost(err error)
 	Regained()
 }
 
-// Times of calls. Jitter spreads the calls of many nodes.
+// Timing of calls. Delays are jittered to spread the calls of many nodes.
 const (
-	firstRetryDelay = 100 * time.Millisecond
-	lastRetryDelay  = 600 * time.Millisecond
-	// spareRetryDelay is the longest delay of a node that usually watches readers.
-	spareRetryDelay = 1500 * time.Millisecond
-	// othersPause is the least pause between two rounds of asking others, whose
-	// answers may be whole listings.
-	othersPause = time.Second
-	// changesPause is about the pause after changes, so that many in a row come
-	// together.
-	changesPause = 60 * time.Millisecond
-	// startSpan is how long after its start a node waits startPause in place of
-	// changesPause: in a fleet that starts, all servers enter themselves.
-	startSpan  = 3 * time.Second
-	startPause = 500 * time.Millisecond
-	// answerLimit is how long the store may take for the beginning of an answer, beyond
-	// the wait that a watch asks for, and how long it may be silent after that: an answer
-	// takes as long as its size and the link demand.
-	answerLimit = time.Second
-	// firstListLimit is the same for the first listing where others can be asked:
-	// a node that starts has nothing yet.
-	firstListLimit = 400 * time.Millisecond
-	// probeWait is the wait of a watch while the store does not answer.
+	minRetryDelay = 100 * time.Millisecond
+	maxRetryDelay = 600 * time.Millisecond
+	// maxReaderRetryDelay replaces maxRetryDelay for a node that usually watches readers.
+	maxReaderRetryDelay = 1500 * time.Millisecond
+	// minPeerQueryInterval limits how often other nodes are queried. Their answers may be complete
+	// listings.
+	minPeerQueryInterval = time.Second
+	// batchPause is the mean pause after changes, so that changes in quick succession arrive in one
+	// batch.
+	batchPause = 60 * time.Millisecond
+	// startupPeriod is the time after its start in which a node uses startupBatchPause instead of
+	// batchPause: when a fleet starts, all servers register at about the same time.
+	startupPeriod     = 3 * time.Second
+	startupBatchPause = 500 * time.Millisecond
+	// answerTimeout limits the time until the first byte of an answer, in addition to the wait of a
+	// watch, and after that the time without progress. The total time isn't limited, since it
+	// depends on the size of the answer and on the link.
+	answerTimeout = time.Second
+	// firstListTimeout replaces answerTimeout until the first byte of the first listing if other
+	// nodes can be queried: a starting node has no data yet.
+	firstListTimeout = 400 * time.Millisecond
+	// probeWait is the wait of a watch while the store doesn't answer.
 	probeWait = 100 * time.Millisecond
 )
 
-// Source is where listings and watches of a kind come from.
+// Source provides listings and watches of a kind.
 type Source interface {
-	// List and Watch are those of Store.
+	// List and Watch behave like those of Store.
 	List(ctx context.Context, kind string) ([]Object, era.Revision, error)
 	Watch(ctx context.Context, kind string, after era.Revision, wait time.Duration) ([]Object, era.Revision, error)
 }
 
-// Follow keeps a sink up to date with one kind until ctx ends: it lists the
-// kind, then watches it, and lists again when the history is gone.
+// Follow keeps a sink up to date with one kind until ctx ends. It lists the kind, then watches it,
+// and lists it again when the history is gone.
 //
-// wait bounds one watch. A store that was silent may have swallowed a call for
-// good: a watch is given up answerLimit after its wait, and until the store has
-// answered again, calls are short. So a change is known within wait, answerLimit
-// and firstRetryDelay after the store works again, and sooner if it was silent
-// for long.
+// A store that was unresponsive may have dropped a call for good. A watch therefore times out
+// answerTimeout after its wait, and calls are short until the store answers again. After the store
+// recovers, a change is known within the sum of the wait, answerTimeout and minRetryDelay, and
+// sooner after a long outage.
 //
-// Between calls that the store does not answer, others are asked, who may still
-// be served by it. What they know is taken if it is newer.
+// When a call to the store fails, other nodes are queried, since the store may still answer them.
+// Their data is used if it is newer.
 //
-// Where there are readers, they are watched in place of the store: few nodes watch
-// it, and the rest turn to it only if no reader has lately been answered by it.
+// If there are readers, they are watched instead of the store, so that only few nodes watch the
+// store itself. A node falls back to the store if no reader has recently had an answer from it.
 func Follow(ctx context.Context, cfg FollowConfig) {
 	follower := &follower{FollowConfig: cfg, answering: true, started: time.Now()}
 	for ctx.Err() == nil {
@@ -81,21 +80,22 @@
 // FollowConfig configures Follow.
 type FollowConfig struct {
 	Store Source
-	// Others, if not nil, are asked while the store does not answer. They bound their
+	// Others, if not nil, is queried while the store doesn't answer. It limits the duration of its
 	// own calls.
 	Others Source
-	// Readers, if not nil, are nodes that watch the store for others. A watch fails
-	// if this node is one of them, or if none of them is up to date.
+	// Readers, if not nil, provides the data of nodes that watch the store for others. Its calls
+	// fail if this node is a reader itself, or if no reader is up to date.
 	Readers ReaderSource
 	Kind    string
-	// Wait returns the bound of one watch of the store.
+	// Wait returns the longest time that a watch of the store may wait for changes.
 	Wait func() time.Duration
 	Sink Sink
-	// Heard, if not nil, is told when calls began that the store or a reader has answered.
+	// Heard, if not nil, is called after each answer of the store or of a reader. An answer of the
+	// store began at the given time; for an answer of a reader it is the start of the call.
 	Heard func(began time.Time)
 }
 
-// ReaderSource lists and watches what nodes that watch the store know.
+// ReaderSource lists and watches the data of nodes that watch the store for others.
 type ReaderSource interface {
 	List(ctx context.Context, kind string) ([]Object, era.Revision, error)
 	Watch(ctx context.Context, kind string, after era.Revision) ([]Object, era.Revision, error)
@@ -108,13 +108,13 @@
 	revision  era.Revision
 	answering bool
 	delay     time.Duration
-	// askedOthers is when others were last asked.
-	askedOthers time.Time
-	// spare is set once readers have answered in place of the store.
-	spare bool
+	// peersQueriedAt is when other nodes were last queried.
+	peersQueriedAt time.Time
+	// usesReaders is set once a reader has answered in place of the store.
+	usesReaders bool
 }
 
-// step makes one call and takes its answer.
+// step makes one call and processes its answer.
 func (f *follower) step(ctx context.Context) {
 	switch {
 	case !f.listed:
@@ -126,8 +126,8 @@
 	}
 }
 
-// listReaders lists what a reader knows and reports whether one was up to date: nodes
-// that are started again in a running fleet make no calls to the store.
+// listReaders lists the objects at a reader and reports whether one was up to date. Nodes that
+// restart in a running fleet therefore don't call the store.
 func (f *follower) listReaders(ctx context.Context) bool {
 	if f.Readers == nil {
 		return false
@@ -137,14 +137,15 @@
 	if err != nil || revision < f.revision {
 		return false
 	}
-	f.spare = true
+	f.usesReaders = true
 	f.succeeded(began)
 	f.listed, f.revision = true, revision
 	f.Sink.Reset(objects, revision)
 	return true
 }
 
-// watchReaders watches a reader and reports whether one was up to date.
+// watchReaders watches a reader and reports whether the step is done. If not, the store must be
+// watched.
 func (f *follower) watchReaders(ctx context.Context) bool {
 	if f.Readers == nil {
 		return false
@@ -161,30 +162,30 @@
 	if revision.Era() < f.revision.Era() {
 		return false
 	}
-	f.spare = true
+	f.usesReaders = true
 	f.succeeded(began)
 	if revision > f.revision {
 		f.revision = revision
 		f.Sink.Apply(events, revision)
 	}
 	if len(events) > 0 {
-		f.gather(ctx)
+		f.waitForBatch(ctx)
 	}
 	return true
 }
 
-// gather waits after changes for those that may follow.
-func (f *follower) gather(ctx context.Context) {
-	if time.Since(f.started) < startSpan {
-		pause(ctx, startPause)
+// waitForBatch pauses after changes, so that changes that follow soon arrive together.
+func (f *follower) waitForBatch(ctx context.Context) {
+	if time.Since(f.started) < startupPeriod {
+		sleepJittered(ctx, startupBatchPause)
 		return
 	}
-	pause(ctx, changesPause)
+	sleepJittered(ctx, batchPause)
 }
 
-// pause waits for half to one and a half times a span.
-func pause(ctx context.Context, span time.Duration) {
-	timer := time.NewTimer(span/2 + rand.N(span))
+// sleepJittered sleeps for 0.5 to 1.5 times mean, or until ctx ends.
+func sleepJittered(ctx context.Context, mean time.Duration) {
+	timer := time.NewTimer(mean/2 + rand.N(mean))
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -193,21 +194,21 @@
 }
 
 func (f *follower) list(ctx context.Context) {
-	limit := answerLimit
-	if f.Others != nil && f.askedOthers.IsZero() {
-		limit = firstListLimit
+	timeout := answerTimeout
+	if f.Others != nil && f.peersQueriedAt.IsZero() {
+		timeout = firstListTimeout
 	}
-	limited, cancel := stall.WithLimit(ctx, limit, answerLimit)
+	callCtx, cancel := stall.WithLimit(ctx, timeout, answerTimeout)
 	defer cancel()
-	objects, revision, err := f.Store.List(limited, f.Kind)
+	objects, revision, err := f.Store.List(callCtx, f.Kind)
 	if err != nil {
 		f.failed(ctx, err)
 		return
 	}
-	f.succeeded(stall.Began(limited))
+	f.succeeded(stall.Began(callCtx))
 	f.listed, f.revision = true, revision
 	f.Sink.Reset(objects, revision)
-	f.Sink.Confirmed(stall.Began(limited))
+	f.Sink.Confirmed(stall.Began(callCtx))
 }
 
 func (f *follower) watch(ctx context.Context) {
@@ -215,9 +216,9 @@
 	if !f.answering {
 		wait = probeWait
 	}
-	limited, cancel := stall.WithLimit(ctx, wait+answerLimit, answerLimit)
+	callCtx, cancel := stall.WithLimit(ctx, wait+answerTimeout, answerTimeout)
 	defer cancel()
-	events, revision, err := f.Store.Watch(limited, f.Kind, f.revision, wait)
+	events, revision, err := f.Store.Watch(callCtx, f.Kind, f.revision, wait)
 	if err != nil {
 		if OutcomeOf(err) == HistoryGone {
 			f.listed = false
@@ -226,12 +227,12 @@
 		f.failed(ctx, err)
 		return
 	}
-	f.succeeded(stall.Began(limited))
+	f.succeeded(stall.Began(callCtx))
 	f.revision = revision
 	f.Sink.Apply(events, revision)
-	f.Sink.Confirmed(stall.Began(limited))
+	f.Sink.Confirmed(stall.Began(callCtx))
 	if len(events) > 0 {
-		f.gather(ctx)
+		f.waitForBatch(ctx)
 	}
 }
 
@@ -254,21 +255,21 @@
 		f.answering = false
 		f.Sink.Lost(err)
 	}
-	f.askOthers(ctx)
-	longest := lastRetryDelay
-	if f.spare {
-		longest = spareRetryDelay
+	f.queryPeers(ctx)
+	maxDelay := maxRetryDelay
+	if f.usesReaders {
+		maxDelay = maxReaderRetryDelay
 	}
-	f.delay = min(max(2*f.delay, firstRetryDelay), longest)
-	pause(ctx, f.delay*2/3)
+	f.delay = min(max(2*f.delay, minRetryDelay), maxDelay)
+	sleepJittered(ctx, f.delay*2/3)
 }
 
-// askOthers takes what others know, if it is newer than what is known here.
-func (f *follower) askOthers(ctx context.Context) {
-	if f.Others == nil || time.Since(f.askedOthers) < othersPause {
+// queryPeers queries other nodes and applies their data if it is newer.
+func (f *follower) queryPeers(ctx context.Context) {
+	if f.Others == nil || time.Since(f.peersQueriedAt) < minPeerQueryInterval {
 		return
 	}
-	f.askedOthers = time.Now()
+	f.peersQueriedAt = time.Now()
 	if f.listed {
 		events, revision, err := f.Others.Watch(ctx, f.Kind, f.revision, 0)
 		if err == nil && revision > f.revision {
--- a/internal/proxy/objectstore/follow_test.go
+++ b/internal/proxy/objectstore/follow_test.go
@@ -15,12 +15,12 @@
 	"dewknot/internal/base/era"
 )
 
-// scriptedStore answers lists and watches; while silent, it swallows calls.
+// scriptedStore answers lists and watches; while blocked, it drops calls.
 type scriptedStore struct {
 	Store
 	mutex     sync.Mutex
-	silent    bool
-	forgotten era.Revision
+	blocked   bool
+	firstKept era.Revision
 	revision  era.Revision
 	content   string
 	changed   chan struct{}
@@ -40,17 +40,17 @@
 	s.changed = make(chan struct{})
 }
 
-func (s *scriptedStore) setSilent(silent bool) {
+func (s *scriptedStore) setBlocked(blocked bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.silent = silent
+	s.blocked = blocked
 }
 
 func (s *scriptedStore) enter(ctx context.Context) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.calls++
-	if s.silent {
+	if s.blocked {
 		s.mutex.Unlock()
 		<-ctx.Done()
 		s.mutex.Lock()
@@ -73,9 +73,9 @@
 	end := time.After(wait)
 	for {
 		s.mutex.Lock()
-		revision, content, changed, forgotten := s.revision, s.content, s.changed, s.forgotten
+		revision, content, changed, firstKept := s.revision, s.content, s.changed, s.firstKept
 		s.mutex.Unlock()
-		if after < forgotten {
+		if after < firstKept {
 			return nil, 0, &Error{Outcome: HistoryGone}
 		}
 		if revision > after {
@@ -91,12 +91,12 @@
 	}
 }
 
-// recordingSink keeps the newest content and when it came.
+// recordingSink records the latest content and when it arrived.
 type recordingSink struct {
-	mutex   sync.Mutex
-	content string
-	at      time.Time
-	lost    int
+	mutex     sync.Mutex
+	content   string
+	appliedAt time.Time
+	lost      int
 }
 
 func (s *recordingSink) Reset(objects []Object, revision era.Revision) { s.Apply(objects, revision) }
@@ -105,7 +105,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for _, event := range events {
-		s.content, s.at = string(event.Content), time.Now()
+		s.content, s.appliedAt = string(event.Content), time.Now()
 	}
 }
 
@@ -119,15 +119,15 @@
 
 func (s *recordingSink) Confirmed(time.Time) {}
 
-func fixed(wait time.Duration) func() time.Duration { return func() time.Duration { return wait } }
+func constant(wait time.Duration) func() time.Duration { return func() time.Duration { return wait } }
 
-func (s *recordingSink) seen() (string, time.Time) {
+func (s *recordingSink) latest() (string, time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.content, s.at
+	return s.content, s.appliedAt
 }
 
-func follow(t *testing.T, wait time.Duration, test func(*scriptedStore, *recordingSink)) {
+func runFollow(t *testing.T, wait time.Duration, test func(*scriptedStore, *recordingSink)) {
 	t.Helper()
 	bubbletest.Test(t, func(t *testing.T) {
 		store, sink := newScriptedStore(), &recordingSink{}
@@ -135,7 +135,7 @@
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			Follow(ctx, FollowConfig{Store: store, Kind: "kind", Wait: fixed(wait), Sink: sink})
+			Follow(ctx, FollowConfig{Store: store, Kind: "kind", Wait: constant(wait), Sink: sink})
 		}()
 		test(store, sink)
 		cancel()
@@ -143,55 +143,56 @@
 	})
 }
 
-func TestChangesArriveAtOnce(t *testing.T) {
-	follow(t, 2*time.Second, func(store *scriptedStore, sink *recordingSink) {
+func TestChangesArriveWithoutDelay(t *testing.T) {
+	runFollow(t, 2*time.Second, func(store *scriptedStore, sink *recordingSink) {
 		time.Sleep(time.Second)
 		store.set("first")
 		synctest.Wait()
-		content, at := sink.seen()
+		content, at := sink.latest()
 		must.Eq(t, "first", content)
 		must.Eq(t, 0, time.Since(at))
 	})
 }
 
-// TestChangeAfterSilence: a store that was silent for seconds has swallowed the
-// calls made meanwhile; the one made last hung for its whole wait.
-func TestChangeAfterSilence(t *testing.T) {
-	for _, silence := range []time.Duration{50 * time.Millisecond, time.Second, 3 * time.Second, 5 * time.Second, 7 * time.Second} {
-		follow(t, 2*time.Second, func(store *scriptedStore, sink *recordingSink) {
+// TestChangeAfterStoreOutage guards against late changes after an outage of the store, which drops
+// all calls made meanwhile.
+func TestChangeAfterStoreOutage(t *testing.T) {
+	for _, outage := range []time.Duration{50 * time.Millisecond, time.Second, 3 * time.Second, 5 * time.Second, 7 * time.Second} {
+		runFollow(t, 2*time.Second, func(store *scriptedStore, sink *recordingSink) {
 			time.Sleep(time.Second)
-			store.setSilent(true)
-			time.Sleep(silence)
-			store.setSilent(false)
+			store.setBlocked(true)
+			time.Sleep(outage)
+			store.setBlocked(false)
 			changed := time.Now()
 			store.set("after")
 			time.Sleep(4 * time.Second)
-			content, at := sink.seen()
+			content, at := sink.latest()
 			must.Eq(t, "after", content)
-			// The watch that was swallowed, and the first pause after it.
-			limit := 3*time.Second + firstRetryDelay
-			if silence >= 3*time.Second {
+			// The dropped watch times out after its wait and answerTimeout; the first retry delay
+			// follows.
+			limit := 3*time.Second + minRetryDelay
+			if outage >= 3*time.Second {
 				limit = 1800 * time.Millisecond
 			}
-			must.Less(t, limit, at.Sub(changed), must.Sprintf("silence of %v", silence))
+			must.Less(t, limit, at.Sub(changed), must.Sprintf("outage of %v", outage))
 		})
 	}
 }
 
-func TestListingAfterTheHistoryIsGone(t *testing.T) {
-	follow(t, 2*time.Second, func(store *scriptedStore, sink *recordingSink) {
+func TestListsAgainAfterHistoryIsGone(t *testing.T) {
+	runFollow(t, 2*time.Second, func(store *scriptedStore, sink *recordingSink) {
 		time.Sleep(100 * time.Millisecond)
 		store.mutex.Lock()
-		store.revision, store.content, store.forgotten = 9, "rewritten", 9
+		store.revision, store.content, store.firstKept = 9, "rewritten", 9
 		store.mutex.Unlock()
 		time.Sleep(3 * time.Second)
-		content, _ := sink.seen()
+		content, _ := sink.latest()
 		must.Eq(t, "rewritten", content)
 	})
 }
 
-func TestCallsOfAQuietStoreAreFew(t *testing.T) {
-	follow(t, 2*time.Second, func(store *scriptedStore, _ *recordingSink) {
+func TestUnchangedStoreGetsFewCalls(t *testing.T) {
+	runFollow(t, 2*time.Second, func(store *scriptedStore, _ *recordingSink) {
 		time.Sleep(20 * time.Second)
 		store.mutex.Lock()
 		defer store.mutex.Unlock()
@@ -199,7 +200,7 @@
 	})
 }
 
-// cacheSource lets a cache stand for other nodes.
+// cacheSource serves a cache as if it were other nodes.
 type cacheSource struct{ cache *Cache }
 
 func (s cacheSource) List(context.Context, string) ([]Object, era.Revision, error) {
@@ -210,32 +211,33 @@
 	return s.cache.Watch(ctx, after, wait)
 }
 
-// TestOthersTellWhatTheStoreDoesNot: the store serves one node and not the other.
-func TestOthersTellWhatTheStoreDoesNot(t *testing.T) {
+// TestPeersSupplyChangesDuringStoreOutage guards against missed changes on a node that the store
+// doesn't answer while it answers other nodes.
+func TestPeersSupplyChangesDuringStoreOutage(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
-		served, refused := newScriptedStore(), newScriptedStore()
+		working, failing := newScriptedStore(), newScriptedStore()
 		sink := &recordingSink{}
 		cache := NewCache(&recordingSink{})
 		ctx, cancel := context.WithCancel(t.Context())
 		var following sync.WaitGroup
 		following.Go(func() {
-			Follow(ctx, FollowConfig{Store: served, Kind: "kind", Wait: fixed(2 * time.Second), Sink: cache})
+			Follow(ctx, FollowConfig{Store: working, Kind: "kind", Wait: constant(2 * time.Second), Sink: cache})
 		})
 		following.Go(func() {
-			Follow(ctx, FollowConfig{Store: refused, Others: cacheSource{cache}, Kind: "kind", Wait: fixed(2 * time.Second), Sink: sink})
+			Follow(ctx, FollowConfig{Store: failing, Others: cacheSource{cache}, Kind: "kind", Wait: constant(2 * time.Second), Sink: sink})
 		})
 		time.Sleep(time.Second)
-		refused.setSilent(true)
+		failing.setBlocked(true)
 		time.Sleep(time.Second)
-		served.set("only here")
+		working.set("only here")
 		time.Sleep(5 * time.Second)
-		content, at := sink.seen()
+		content, at := sink.latest()
 		must.Eq(t, "only here", content)
 		must.Less(t, 3500*time.Millisecond, time.Since(at)-time.Second)
-		served.set("again")
+		working.set("again")
 		changed := time.Now()
 		time.Sleep(4 * time.Second)
-		content, at = sink.seen()
+		content, at = sink.latest()
 		must.Eq(t, "again", content)
 		must.Less(t, 2500*time.Millisecond, at.Sub(changed))
 		cancel()
@@ -243,7 +245,7 @@
 	})
 }
 
-// countingSource counts the rounds of asking others.
+// countingSource counts the listings requested from other nodes.
 type countingSource struct {
 	cacheSource
 	rounds atomic.Int64
@@ -255,37 +257,37 @@
 	return s.cacheSource.List(ctx, kind)
 }
 
-// busyStore refuses every call at once, as one does whose rate is used up.
-type busyStore struct{ Store }
+// rejectingStore rejects each call at once, like a store whose rate limit is exhausted.
+type rejectingStore struct{ Store }
 
 // List implements Source.
-func (busyStore) List(context.Context, string) ([]Object, era.Revision, error) {
+func (rejectingStore) List(context.Context, string) ([]Object, era.Revision, error) {
 	return nil, 0, &Error{Outcome: NotDone}
 }
 
-// TestRefusedNodesDoNotFloodOthers: a store that refuses at once is asked again soon,
-// other nodes once a second.
-func TestRefusedNodesDoNotFloodOthers(t *testing.T) {
+// TestRejectedNodesDoNotFloodPeers guards against querying other nodes as often as a store that
+// rejects calls at once; they are queried once a second.
+func TestRejectedNodesDoNotFloodPeers(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
-		others := &countingSource{cacheSource: cacheSource{NewCache(&recordingSink{})}}
+		peers := &countingSource{cacheSource: cacheSource{NewCache(&recordingSink{})}}
 		ctx, cancel := context.WithCancel(t.Context())
 		var following sync.WaitGroup
 		following.Go(func() {
-			Follow(ctx, FollowConfig{Store: busyStore{}, Others: others, Kind: "kind", Wait: fixed(2 * time.Second), Sink: &recordingSink{}})
+			Follow(ctx, FollowConfig{Store: rejectingStore{}, Others: peers, Kind: "kind", Wait: constant(2 * time.Second), Sink: &recordingSink{}})
 		})
 		time.Sleep(10 * time.Second)
 		cancel()
 		following.Wait()
-		must.LessEq(t, int64(10), others.rounds.Load())
-		must.GreaterEq(t, int64(7), others.rounds.Load())
+		must.LessEq(t, int64(10), peers.rounds.Load())
+		must.GreaterEq(t, int64(7), peers.rounds.Load())
 	})
 }
 
-// TestChangesInARowComeTogether: 100 changes 10 ms apart cost few calls, and the last
-// is known at once.
-func TestChangesInARowComeTogether(t *testing.T) {
-	follow(t, 2*time.Second, func(store *scriptedStore, sink *recordingSink) {
-		time.Sleep(startSpan + time.Second)
+// TestFrequentChangesAreBatched guards against a call for each of 100 changes 10 ms apart, and
+// against a late last change.
+func TestFrequentChangesAreBatched(t *testing.T) {
+	runFollow(t, 2*time.Second, func(store *scriptedStore, sink *recordingSink) {
+		time.Sleep(startupPeriod + time.Second)
 		store.mutex.Lock()
 		before := store.calls
 		store.mutex.Unlock()
@@ -294,7 +296,7 @@
 			time.Sleep(10 * time.Millisecond)
 		}
 		time.Sleep(100 * time.Millisecond)
-		content, _ := sink.seen()
+		content, _ := sink.latest()
 		must.Eq(t, "99", content)
 		store.mutex.Lock()
 		defer store.mutex.Unlock()
@@ -302,16 +304,16 @@
 	})
 }
 
-// reader is a node that watches the store for others.
-type reader struct{ cache *Cache }
+// cacheReader serves a cache as a node that watches the store for others.
+type cacheReader struct{ cache *Cache }
 
-// Watch implements ReaderSource.
 // List implements ReaderSource.
-func (r reader) List(context.Context, string) ([]Object, era.Revision, error) {
-	return nil, 0, &Error{Outcome: NotDone, Detail: "no reader lists"}
+func (r cacheReader) List(context.Context, string) ([]Object, era.Revision, error) {
+	return nil, 0, &Error{Outcome: NotDone, Detail: "readers serve no listings"}
 }
 
-func (r reader) Watch(ctx context.Context, _ string, after era.Revision) ([]Object, era.Revision, error) {
+// Watch implements ReaderSource.
+func (r cacheReader) Watch(ctx context.Context, _ string, after era.Revision) ([]Object, era.Revision, error) {
 	events, revision, err := r.cache.Watch(ctx, after, time.Second)
 	if err == nil && r.cache.Age() > 3*time.Second {
 		err = &Error{Outcome: NotDone}
@@ -319,52 +321,54 @@
 	return events, revision, err
 }
 
-// TestReadersSpareTheStore: a node that has a reader asks the store for one listing
-// only. When the store no longer answers the reader, the node watches it itself.
-func TestReadersSpareTheStore(t *testing.T) {
+// TestReadersReduceStoreCalls guards against store calls of a node that has a reader, beyond the
+// first listing, and against missed changes once the store no longer answers the reader.
+func TestReadersReduceStoreCalls(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
-		readers, own := newScriptedStore(), newScriptedStore()
+		readerStore, ownStore := newScriptedStore(), newScriptedStore()
 		sink := &recordingSink{}
 		cache := NewCache(&recordingSink{})
 		ctx, cancel := context.WithCancel(t.Context())
 		var following sync.WaitGroup
 		following.Go(func() {
-			Follow(ctx, FollowConfig{Store: readers, Kind: "kind", Wait: fixed(2 * time.Second), Sink: cache})
+			Follow(ctx, FollowConfig{Store: readerStore, Kind: "kind", Wait: constant(2 * time.Second), Sink: cache})
 		})
 		time.Sleep(time.Second)
 		following.Go(func() {
-			Follow(ctx, FollowConfig{Store: own, Readers: reader{cache}, Kind: "kind", Wait: fixed(2 * time.Second), Sink: sink})
+			Follow(ctx, FollowConfig{Store: ownStore, Readers: cacheReader{cache}, Kind: "kind", Wait: constant(2 * time.Second), Sink: sink})
 		})
 		time.Sleep(20 * time.Second)
 		changed := time.Now()
-		readers.set("told by the reader")
+		readerStore.set("from the reader")
 		time.Sleep(20 * time.Second)
-		content, at := sink.seen()
-		must.Eq(t, "told by the reader", content)
+		content, at := sink.latest()
+		must.Eq(t, "from the reader", content)
 		must.Less(t, 100*time.Millisecond, at.Sub(changed))
-		own.mutex.Lock()
-		must.Eq(t, 1, own.calls)
-		own.mutex.Unlock()
-
-		readers.setSilent(true)
-		time.Sleep(2 * time.Second) // the reader's watch under way is still answered
-		own.set("first")
-		own.set("told by the store")
+		ownStore.mutex.Lock()
+		must.Eq(t, 1, ownStore.calls)
+		ownStore.mutex.Unlock()
+
+		readerStore.setBlocked(true)
+		time.Sleep(2 * time.Second) // the reader's current watch is still answered
+		ownStore.set("first")
+		ownStore.set("from the store")
 		changed = time.Now()
 		time.Sleep(10 * time.Second)
-		content, at = sink.seen()
-		must.Eq(t, "told by the store", content)
+		content, at = sink.latest()
+		must.Eq(t, "from the store", content)
 		must.Less(t, 4200*time.Millisecond, at.Sub(changed))
 		cancel()
 		following.Wait()
 	})
 }
 
-func TestCacheTellsRemovalsAndNothingOld(t *testing.T) {
+// TestCacheWatchReturnsOnlyNewChanges guards against lost removals and against changes that are
+// reported again to a watcher that knows them.
+func TestCacheWatchReturnsOnlyNewChanges(t *testing.T) {
 	cache := NewCache(&recordingSink{})
 	_, _, err := cache.List()
 	must.Eq(t, NotDone, OutcomeOf(err))
-	// It does not know that any history is gone: nobody should list anew for it.
+	// An empty cache must not report HistoryGone, which would make the caller list again.
 	_, _, err = cache.Watch(t.Context(), 3, 0)
 	must.Eq(t, NotDone, OutcomeOf(err))
 	cache.Reset([]Object{{Name: "a", Revision: 1}, {Name: "b", Revision: 2}}, 3)
@@ -379,16 +383,16 @@
 	must.SliceEmpty(t, events)
 }
 
-// TestChangesOfAStartComeTogether: while a fleet starts, changes 10 ms apart for 2 s
-// cost a few calls, and the last is known within the start's longest pause.
-func TestChangesOfAStartComeTogether(t *testing.T) {
-	follow(t, 2*time.Second, func(store *scriptedStore, sink *recordingSink) {
+// TestChangesAtStartupAreBatched guards against many store calls while a fleet starts and changes
+// come 10 ms apart for 2 s, and against a late last change.
+func TestChangesAtStartupAreBatched(t *testing.T) {
+	runFollow(t, 2*time.Second, func(store *scriptedStore, sink *recordingSink) {
 		for i := range 200 {
 			store.set(fmt.Sprint(i))
 			time.Sleep(10 * time.Millisecond)
 		}
-		time.Sleep(startPause*3/2 + 50*time.Millisecond)
-		content, _ := sink.seen()
+		time.Sleep(startupBatchPause*3/2 + 50*time.Millisecond)
+		content, _ := sink.latest()
 		must.Eq(t, "199", content)
 		store.mutex.Lock()
 		defer store.mutex.Unlock()
--- a/internal/proxy/objectstore/guarded.go
+++ b/internal/proxy/objectstore/guarded.go
@@ -11,63 +11,63 @@
 	"dewknot/internal/base/era"
 )
 
-// Guarded is a store of which only answers of the latest known era count. The store itself
-// compares numbers, which it gives out again in a new era: a condition on a change of an
-// earlier era may then hold by chance. It is safe for concurrent use.
+// Guarded wraps a store and accepts only answers of the latest known era. The store compares only
+// the numbers of revisions and reuses them in a new era, so a condition on a revision of an earlier
+// era may match another change by coincidence. Guarded is safe for concurrent use.
 type Guarded struct {
 	store Store
-	// restored is told when a later era is learned than the one known before.
-	restored func(earlier, later uint64)
+	// onRestore is called when a later era replaces a known one.
+	onRestore func(earlier, later uint64)
 
-	mu     sync.Mutex
-	heard  bool
-	latest uint64
+	mu      sync.Mutex
+	learned bool // an era is known
+	latest  uint64
 }
 
-// NewGuarded returns a guarded store. restored is called, without a lock held, when the
-// store turns out to have come back from an older copy.
-func NewGuarded(store Store, restored func(earlier, later uint64)) *Guarded {
-	return &Guarded{store: store, restored: restored}
+// NewGuarded returns a guarded store. It calls onRestore, without holding a lock, when the store
+// turns out to have been restored from an older copy.
+func NewGuarded(store Store, onRestore func(earlier, later uint64)) *Guarded {
+	return &Guarded{store: store, onRestore: onRestore}
 }
 
-// Era returns the latest era known.
+// Era returns the latest known era.
 func (g *Guarded) Era() uint64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.latest
 }
 
-// Learn takes note of an era of which the store or another node has told. It reports false
-// if a later one is known.
-func (g *Guarded) Learn(told uint64) bool {
+// Learn records an era reported by the store or by another node. It returns false if a later era is
+// known.
+func (g *Guarded) Learn(newEra uint64) bool {
 	g.mu.Lock()
-	earlier, first := g.latest, !g.heard
-	g.heard = true
-	if told < earlier {
+	earlier, first := g.latest, !g.learned
+	g.learned = true
+	if newEra < earlier {
 		g.mu.Unlock()
 		return false
 	}
-	g.latest = told
+	g.latest = newEra
 	g.mu.Unlock()
-	if !first && told > earlier {
-		g.restored(earlier, told)
+	if !first && newEra > earlier {
+		g.onRestore(earlier, newEra)
 	}
 	return true
 }
 
-// learn takes note of the era of an answer; it fails if a later one is known.
-func (g *Guarded) learn(answered uint64, outcome Outcome) error {
-	if g.Learn(answered) {
+// checkEra records the era of an answer. It fails with the given outcome if a later era is known.
+func (g *Guarded) checkEra(answerEra uint64, outcome Outcome) error {
+	if g.Learn(answerEra) {
 		return nil
 	}
-	return &Error{Outcome: outcome, Detail: fmt.Sprintf("the store answered in era %d; a later one is known", answered), Era: answered}
+	return &Error{Outcome: outcome, Detail: fmt.Sprintf("the store answered in era %d; a later one is known", answerEra), Era: answerEra}
 }
 
-// failed takes note of the era that a failed call names.
-func (g *Guarded) failed(err error) error {
-	var told *Error
-	if errors.As(err, &told) && told.Era > 0 {
-		g.Learn(told.Era)
+// learnFromError records the era named by the error of a failed call, and returns the error.
+func (g *Guarded) learnFromError(err error) error {
+	var storeErr *Error
+	if errors.As(err, &storeErr) && storeErr.Era > 0 {
+		g.Learn(storeErr.Era)
 	}
 	return err
 }
@@ -76,9 +76,9 @@
 func (g *Guarded) List(ctx context.Context, kind string) ([]Object, era.Revision, error) {
 	objects, revision, err := g.store.List(ctx, kind)
 	if err != nil {
-		return nil, 0, g.failed(err)
+		return nil, 0, g.learnFromError(err)
 	}
-	if err := g.learn(revision.Era(), NotDone); err != nil {
+	if err := g.checkEra(revision.Era(), NotDone); err != nil {
 		return nil, 0, err
 	}
 	return objects, revision, nil
@@ -88,27 +88,27 @@
 func (g *Guarded) ListStale(ctx context.Context, kind string) ([]Object, error) {
 	objects, err := g.store.ListStale(ctx, kind)
 	if err != nil {
-		return nil, g.failed(err)
+		return nil, g.learnFromError(err)
 	}
 	if len(objects) > 0 {
-		if err := g.learn(objects[0].Revision.Era(), NotDone); err != nil {
+		if err := g.checkEra(objects[0].Revision.Era(), NotDone); err != nil {
 			return nil, err
 		}
 	}
 	return objects, nil
 }
 
-// Watch implements Store. Changes after a revision of an earlier era are not known.
+// Watch implements Store. It fails with HistoryGone if the store's era is not that of the revision.
 func (g *Guarded) Watch(ctx context.Context, kind string, after era.Revision, wait time.Duration) ([]Object, era.Revision, error) {
 	events, revision, err := g.store.Watch(ctx, kind, after, wait)
 	if err != nil {
-		return nil, 0, g.failed(err)
+		return nil, 0, g.learnFromError(err)
 	}
-	if err := g.learn(revision.Era(), NotDone); err != nil {
+	if err := g.checkEra(revision.Era(), NotDone); err != nil {
 		return nil, 0, err
 	}
 	if revision.Era() != after.Era() {
-		return nil, 0, &Error{Outcome: HistoryGone, Detail: "the store has come back from an older copy", Era: revision.Era()}
+		return nil, 0, &Error{Outcome: HistoryGone, Detail: "the store was restored from an older copy", Era: revision.Era()}
 	}
 	return events, revision, nil
 }
@@ -117,65 +117,67 @@
 func (g *Guarded) Get(ctx context.Context, kind, name string) (Object, error) {
 	object, err := g.store.Get(ctx, kind, name)
 	if err != nil {
-		return object, g.failed(err)
+		return object, g.learnFromError(err)
 	}
-	return object, g.learn(object.Revision.Era(), NotDone)
+	return object, g.checkEra(object.Revision.Era(), NotDone)
 }
 
 // GetStale implements Store.
 func (g *Guarded) GetStale(ctx context.Context, kind, name string) (Object, error) {
 	object, err := g.store.GetStale(ctx, kind, name)
 	if err != nil {
-		return object, g.failed(err)
+		return object, g.learnFromError(err)
 	}
-	return object, g.learn(object.Revision.Era(), NotDone)
+	return object, g.checkEra(object.Revision.Era(), NotDone)
 }
 
 // Create implements Store.
 func (g *Guarded) Create(ctx context.Context, kind, name string, content []byte) (Object, error) {
 	object, err := g.store.Create(ctx, kind, name, content)
 	if err != nil {
-		return object, g.failed(err)
+		return object, g.learnFromError(err)
 	}
-	return object, g.learn(object.Revision.Era(), Unknown)
+	return object, g.checkEra(object.Revision.Era(), Unknown)
 }
 
 // Replace implements Store.
 func (g *Guarded) Replace(ctx context.Context, kind, name string, revision era.Revision, content []byte) (Object, error) {
 	if revision.Era() < g.Era() {
-		return Object{}, outdated(revision)
+		return Object{}, earlierEraError(revision)
 	}
 	object, err := g.store.Replace(ctx, kind, name, revision, content)
 	if err != nil {
-		return object, g.failed(err)
+		return object, g.learnFromError(err)
 	}
-	return object, g.settle(revision, object.Revision.Era())
+	return object, g.checkCondition(revision, object.Revision.Era())
 }
 
 // Delete implements Store.
 func (g *Guarded) Delete(ctx context.Context, kind, name string, revision era.Revision) (uint64, error) {
 	if revision.Era() < g.Era() {
-		return 0, outdated(revision)
+		return 0, earlierEraError(revision)
 	}
-	answered, err := g.store.Delete(ctx, kind, name, revision)
+	answerEra, err := g.store.Delete(ctx, kind, name, revision)
 	if err != nil {
-		return answered, g.failed(err)
+		return answerEra, g.learnFromError(err)
 	}
-	return answered, g.settle(revision, answered)
+	return answerEra, g.checkCondition(revision, answerEra)
 }
 
-// outdated refuses a change under the condition of an earlier era, without a call.
-func outdated(revision era.Revision) error {
-	return &Error{Outcome: Conflict, Detail: fmt.Sprintf("revision %s is of an earlier era", revision)}
+// earlierEraError is the error of a change whose condition is on a revision of an earlier era. Such
+// a change isn't sent to the store.
+func earlierEraError(revision era.Revision) error {
+	return &Error{Outcome: Conflict, Detail: fmt.Sprintf("revision %s belongs to an earlier era", revision)}
 }
 
-// settle decides what a change that the store has done under a condition is worth.
-func (g *Guarded) settle(condition era.Revision, answered uint64) error {
-	if err := g.learn(answered, Unknown); err != nil {
+// checkCondition verifies a change that the store has executed on a condition. If the store's era
+// is not that of the condition, the condition matched by coincidence and the outcome is Unknown.
+func (g *Guarded) checkCondition(condition era.Revision, answerEra uint64) error {
+	if err := g.checkEra(answerEra, Unknown); err != nil {
 		return err
 	}
-	if answered != condition.Era() {
-		return &Error{Outcome: Unknown, Detail: fmt.Sprintf("the condition on revision %s held by chance in era %d", condition, answered), Era: answered}
+	if answerEra != condition.Era() {
+		return &Error{Outcome: Unknown, Detail: fmt.Sprintf("the condition on revision %s matched a revision of era %d", condition, answerEra), Era: answerEra}
 	}
 	return nil
 }
--- a/internal/proxy/objectstore/guarded_test.go
+++ b/internal/proxy/objectstore/guarded_test.go
@@ -18,16 +18,16 @@
 	return revision
 }
 
-// restoringStore is a store of one object that compares numbers alone, and may come back
-// from a copy.
+// restoringStore stores one object, compares only the numbers of revisions, and can be restored
+// from a backup.
 type restoringStore struct {
 	Store
-	era    uint64
-	number uint64
-	copied uint64
+	era          uint64
+	number       uint64
+	backupNumber uint64
 }
 
-func (s *restoringStore) present() era.Revision {
+func (s *restoringStore) currentRevision() era.Revision {
 	revision, err := era.New(s.era, s.number)
 	if err != nil {
 		panic(err)
@@ -36,14 +36,14 @@
 }
 
 func (s *restoringStore) Get(context.Context, string, string) (Object, error) {
-	return Object{Revision: s.present()}, nil
+	return Object{Revision: s.currentRevision()}, nil
 }
 
 func (s *restoringStore) Watch(_ context.Context, _ string, after era.Revision, _ time.Duration) ([]Object, era.Revision, error) {
 	if after.Number() > s.number {
 		return nil, 0, &Error{Outcome: HistoryGone, Era: s.era}
 	}
-	return nil, s.present(), nil
+	return nil, s.currentRevision(), nil
 }
 
 func (s *restoringStore) Replace(_ context.Context, _, _ string, revision era.Revision, _ []byte) (Object, error) {
@@ -51,7 +51,7 @@
 		return Object{}, &Error{Outcome: Conflict, Era: s.era}
 	}
 	s.number++
-	return Object{Revision: s.present()}, nil
+	return Object{Revision: s.currentRevision()}, nil
 }
 
 func (s *restoringStore) Delete(_ context.Context, _, _ string, revision era.Revision) (uint64, error) {
@@ -62,48 +62,48 @@
 	return s.era, nil
 }
 
-// TestConditionsOfAnEarlierEra: whatever the store does and gives out again, a change counts as
-// done only under a condition of the era in which the store did it, and a watch goes on only in
-// its era. Each later era is told once.
-func TestConditionsOfAnEarlierEra(t *testing.T) {
+// TestConditionsOfEarlierErasAreRejected guards against changes and watches that succeed on a
+// revision of an earlier era because the restored store reuses its number. Each later era must be
+// reported once.
+func TestConditionsOfEarlierErasAreRejected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		store := &restoringStore{number: 3, copied: 3}
-		var told []uint64
-		guarded := NewGuarded(store, func(_, later uint64) { told = append(told, later) })
-		known := store.present()
+		store := &restoringStore{number: 3, backupNumber: 3}
+		var learnedEras []uint64
+		guarded := NewGuarded(store, func(_, later uint64) { learnedEras = append(learnedEras, later) })
+		lastRevision := store.currentRevision()
 		t.Repeat(map[string]func(*rapid.T){
-			"copy": func(*rapid.T) { store.copied = store.number },
+			"copy": func(*rapid.T) { store.backupNumber = store.number },
 			"restore": func(*rapid.T) {
-				store.era, store.number = store.era+1, store.copied
+				store.era, store.number = store.era+1, store.backupNumber
 			},
 			"get": func(t *rapid.T) {
 				object, err := guarded.Get(t.Context(), "kind", "name")
 				must.NoError(t, err)
-				known = object.Revision
+				lastRevision = object.Revision
 			},
 			"replace": func(t *rapid.T) {
-				object, err := guarded.Replace(t.Context(), "kind", "name", known, nil)
-				if known.Era() != store.era {
+				object, err := guarded.Replace(t.Context(), "kind", "name", lastRevision, nil)
+				if lastRevision.Era() != store.era {
 					must.Error(t, err)
 					return
 				}
 				if err == nil {
-					known = object.Revision
+					lastRevision = object.Revision
 				}
 			},
 			"delete": func(t *rapid.T) {
-				if _, err := guarded.Delete(t.Context(), "kind", "name", known); known.Era() != store.era {
+				if _, err := guarded.Delete(t.Context(), "kind", "name", lastRevision); lastRevision.Era() != store.era {
 					must.Error(t, err)
 				}
 			},
 			"watch": func(t *rapid.T) {
-				if _, _, err := guarded.Watch(t.Context(), "kind", known, 0); known.Era() != store.era {
+				if _, _, err := guarded.Watch(t.Context(), "kind", lastRevision, 0); lastRevision.Era() != store.era {
 					must.Eq(t, HistoryGone, OutcomeOf(err))
 				}
 			},
 			"": func(t *rapid.T) {
-				for i := 1; i < len(told); i++ {
-					must.Greater(t, told[i-1], told[i])
+				for i := 1; i < len(learnedEras); i++ {
+					must.Greater(t, learnedEras[i-1], learnedEras[i])
 				}
 				must.LessEq(t, store.era, guarded.Era())
 			},
@@ -111,7 +111,7 @@
 	})
 }
 
-func TestAnswersOfAnEarlierEraAreDropped(t *testing.T) {
+func TestAnswersOfEarlierErasAreRejected(t *testing.T) {
 	store := &restoringStore{number: 3}
 	guarded := NewGuarded(store, func(_, _ uint64) {})
 	must.True(t, guarded.Learn(2))
@@ -120,9 +120,9 @@
 	must.ErrorContains(t, err, "a later one is known")
 }
 
-// TestCacheOverAnEra: who knew what this node knew when the era changed is told what has
-// changed, and that only; who knew more lists again.
-func TestCacheOverAnEra(t *testing.T) {
+// TestCacheWatchAcrossEras guards against missed or repeated changes for watchers of the previous
+// era. A watcher that knew more than the cache must list again.
+func TestCacheWatchAcrossEras(t *testing.T) {
 	cache := NewCache(&recordingSink{})
 	cache.Reset([]Object{
 		{Name: "same", Revision: 5, Content: []byte("a")},
@@ -142,15 +142,15 @@
 	_, _, err = cache.Watch(t.Context(), 9, 0)
 	must.Eq(t, HistoryGone, OutcomeOf(err))
 	_, _, err = cache.Watch(t.Context(), revisionOf(t, 2, 1), 0)
-	must.Eq(t, NotDone, OutcomeOf(err), must.Sprint("a node of an earlier era does not answer for a later one"))
+	must.Eq(t, NotDone, OutcomeOf(err), must.Sprint("a cache of an earlier era must not answer for a later one"))
 }
 
-// TestCacheKeepsTheNewest: what outdates a listed object is kept and told on, until the store
-// has a newer one; it is kept as well if the copy lacks it.
-func TestCacheKeepsTheNewest(t *testing.T) {
+// TestCacheKeepsNewestContent guards against a restored store that replaces newer content by older
+// content, or removes it.
+func TestCacheKeepsNewestContent(t *testing.T) {
 	sink := &recordingSink{}
 	cache := NewCache(sink)
-	cache.KeepNewest(func(known, listed []byte) bool { return string(known) > string(listed) })
+	cache.KeepNewest(func(cached, listed []byte) bool { return string(cached) > string(listed) })
 	cache.Reset([]Object{{Name: "main", Revision: 7, Content: []byte("v7")}}, 7)
 	for epoch, listed := range [][]Object{{{Name: "main", Content: []byte("v5")}}, nil} {
 		revision := revisionOf(t, uint64(epoch+1), 3)
@@ -160,7 +160,7 @@
 		must.Len(t, 1, objects)
 		must.Eq(t, "v7", string(objects[0].Content))
 	}
-	content, _ := sink.seen()
+	content, _ := sink.latest()
 	must.Eq(t, "v7", content)
 	later := revisionOf(t, 2, 4)
 	cache.Apply([]Object{{Name: "main", Revision: later, Content: []byte("v8")}}, later)
--- a/internal/proxy/objectstore/objectstore.go
+++ b/internal/proxy/objectstore/objectstore.go
@@ -1,8 +1,8 @@
-// Package objectstore is the port to a durable store of versioned objects:
-// conditional create and replace, listings and watches, with typed outcomes.
+// Package objectstore defines the interface to a durable store of versioned objects: conditional
+// create and replace, listings and watches, with typed outcomes of failed calls. It also follows
+// the objects of a kind, caches them, and serves them to other nodes as patches or in pieces.
 //
-// An adapter implements Store. What the outcomes mean for the caller, and when
-// to ask again, is decided by the users of the port.
+// Adapters implement Store. Callers decide what an outcome means for them and when to retry.
 package objectstore
 
 import (
@@ -22,59 +22,58 @@
 	Revision era.Revision
 	// Content is the object's content, in the encoding of its writer.
 	Content []byte
-	// Deleted is set in events that tell of a removal.
+	// Deleted is set in events of removals.
 	Deleted bool
 }
 
-// Store is a durable store of objects by kind and name. It may come back from an older copy
-// of itself and then begins a new era. An adapter gives the objects and revisions of an answer
-// the era in which the store gave it, and sends numbers alone: users of the port reach a store
-// through Guarded, which tells a condition that held from one that held by chance.
+// Store is a durable store of objects by kind and name. It may be restored from an older copy of
+// itself, and then begins a new era. An adapter sets the era of the store's answer in the objects
+// and revisions that it returns, and sends only the numbers of revisions. Callers use a store
+// through Guarded, which detects conditions that match a revision of another era.
 type Store interface {
-	// List returns all objects of a kind and the revision up to which they are complete.
+	// List returns all objects of a kind and the revision up to which the listing is complete.
 	List(ctx context.Context, kind string) ([]Object, era.Revision, error)
-	// ListStale returns the objects of a kind as they were some seconds ago, or
-	// are now, at a lower price.
+	// ListStale is a cheaper List whose result may be some seconds old.
 	ListStale(ctx context.Context, kind string) ([]Object, error)
-	// Watch waits up to wait for changes after a revision and returns them with
-	// the revision to go on from. No change within wait is no error.
+	// Watch returns the changes after a revision, and the revision to continue from. It waits for
+	// changes at most for wait; if there are none, it returns no events and no error.
 	Watch(ctx context.Context, kind string, after era.Revision, wait time.Duration) ([]Object, era.Revision, error)
-	// Get returns one object; a missing one is an Error with outcome NotFound.
+	// Get returns an object. The outcome of the error for a missing object is NotFound.
 	Get(ctx context.Context, kind, name string) (Object, error)
-	// GetStale returns one object as it was some seconds ago, or is now, at a lower price.
+	// GetStale is a cheaper Get whose result may be some seconds old.
 	GetStale(ctx context.Context, kind, name string) (Object, error)
-	// Create makes an object; one that exists is an Error with outcome Conflict.
+	// Create creates an object. If it exists, the outcome of the error is Conflict.
 	Create(ctx context.Context, kind, name string, content []byte) (Object, error)
-	// Replace changes an object at a given revision; another revision is a Conflict.
+	// Replace changes an object that is at the given revision; otherwise the outcome is Conflict.
 	Replace(ctx context.Context, kind, name string, revision era.Revision, content []byte) (Object, error)
-	// Delete removes an object at a given revision; another revision is a Conflict. It
-	// returns the era in which the store has answered.
+	// Delete removes an object that is at the given revision; otherwise the outcome is Conflict. It
+	// returns the era of the store's answer.
 	Delete(ctx context.Context, kind, name string, revision era.Revision) (uint64, error)
 }
 
-// Outcome tells what is known of a call that failed.
+// Outcome says what is known about the effect of a failed call.
 type Outcome uint8
 
 // The outcomes of failed calls.
 const (
-	// NotDone: the call surely changed nothing and will not.
+	// NotDone: the call has changed nothing and will not.
 	NotDone Outcome = iota
-	// Unknown: the call may have been done, or may be done later.
+	// Unknown: the call may have been executed, or may be executed later.
 	Unknown
-	// Conflict: the object has another revision, or exists already.
+	// Conflict: the object is at another revision, or already exists.
 	Conflict
-	// NotFound: there is no such object.
+	// NotFound: the object doesn't exist.
 	NotFound
-	// HistoryGone: the changes since the revision are forgotten; list again.
+	// HistoryGone: the changes since the revision are no longer available; list again.
 	HistoryGone
 )
 
 var outcomeTexts = map[Outcome]string{
-	NotDone:     "the store did nothing; ask again later",
+	NotDone:     "the store did not execute the request; retry later",
 	Unknown:     "the outcome is unknown; read the object before changing it again",
-	Conflict:    "the object has changed; read it and decide anew",
-	NotFound:    "there is no such object; create it",
-	HistoryGone: "the history is gone; list the objects again",
+	Conflict:    "the object has changed; read it before changing it again",
+	NotFound:    "the object does not exist; create it",
+	HistoryGone: "the change history is no longer available; list the objects again",
 }
 
 // String returns the outcome's name in logs and metrics.
@@ -82,22 +81,22 @@
 
 var outcomeNames = [...]string{"not_done", "unknown", "conflict", "not_found", "history_gone"}
 
-// Error is a failed call; its message names the remedy.
+// Error is the error of a failed call. Its message says what to do next.
 type Error struct {
 	Outcome Outcome
 	Detail  string
-	// Era is the era of the store's answer; 0 if it gave none or names no eras.
+	// Era is the era of the store's answer; 0 if there was no answer or the store has no eras.
 	Era uint64
 }
 
 // Error implements the error interface.
 func (e *Error) Error() string { return fmt.Sprintf("%s (%s)", outcomeTexts[e.Outcome], e.Detail) }
 
-// OutcomeOf returns the outcome that err tells; errors of other types count as Unknown.
+// OutcomeOf returns the outcome of err. Errors of other types have the outcome Unknown.
 func OutcomeOf(err error) Outcome {
-	var failed *Error
-	if errors.As(err, &failed) {
-		return failed.Outcome
+	var storeErr *Error
+	if errors.As(err, &storeErr) {
+		return storeErr.Outcome
 	}
 	return Unknown
 }
--- a/internal/proxy/objectstore/pieces.go
+++ b/internal/proxy/objectstore/pieces.go
@@ -10,33 +10,32 @@
 )
 
 const (
-	// PieceBytes is the size of a piece of a large object: an eighth of a second on a
-	// link of 2 Mbit/s, the slowest of the users' small plays, so that what else a node
-	// says is not held up for longer.
+	// PieceBytes is the size of a piece of a large object. A piece takes 1/8 s on a link of 2
+	// Mbit/s, and delays other messages of the node by no more than that.
 	PieceBytes = 32 << 10
-	// largeFrom is the size from which an object is told in pieces.
-	largeFrom = 2 * PieceBytes
-	// maxUnpackedBytes bounds what compressed content may make.
+	// minLargeBytes is the minimum size of an object that is sent in pieces.
+	minLargeBytes = 2 * PieceBytes
+	// maxUnpackedBytes limits the size of decompressed content.
 	maxUnpackedBytes = 16 << 20
 )
 
-// LargeObject names a version of an object that is fetched compressed, in pieces.
+// LargeObject identifies a version of an object that is fetched compressed and in pieces.
 type LargeObject struct {
 	Name     string
 	Revision era.Revision
-	// Size and Sum are the length and the hash of the compressed content: pieces of
-	// different nodes fit together only if these agree.
+	// Size and Sum are the length and the xxHash64 checksum of the compressed content. Pieces of
+	// different nodes can be combined only if both are equal.
 	Size int
 	Sum  uint64
 }
 
-// Unpack returns the object that the compressed content makes.
+// Unpack decompresses the content and returns the object. It fails if Size or Sum differ.
 func (l *LargeObject) Unpack(packed []byte) (Object, error) {
-	if len(packed) != l.Size || sumOf(packed) != l.Sum {
-		return Object{}, &Error{Outcome: NotDone, Detail: fmt.Sprintf("the pieces of version %d of %q do not fit together", l.Revision, l.Name)}
+	if len(packed) != l.Size || checksum(packed) != l.Sum {
+		return Object{}, &Error{Outcome: NotDone, Detail: fmt.Sprintf("the pieces of version %d of %q do not match its size and checksum", l.Revision, l.Name)}
 	}
 	if size, err := s2.DecodedLen(packed); err != nil || size > maxUnpackedBytes {
-		return Object{}, &Error{Outcome: NotDone, Detail: fmt.Sprintf("version %d of %q unpacks to %d bytes; %d are allowed", l.Revision, l.Name, size, maxUnpackedBytes)}
+		return Object{}, &Error{Outcome: NotDone, Detail: fmt.Sprintf("version %d of %q unpacks to %d bytes; at most %d are allowed", l.Revision, l.Name, size, maxUnpackedBytes)}
 	}
 	content, err := s2.Decode(nil, packed)
 	if err != nil {
@@ -45,27 +44,28 @@
 	return Object{Name: l.Name, Revision: l.Revision, Content: content}, nil
 }
 
-// NameLarge splits objects into those that are told at once and the names of those
-// that are fetched in pieces.
-func (c *Cache) NameLarge(objects []Object) (told []Object, large []LargeObject) {
+// NameLarge splits objects into those that are sent inline and references to those that are fetched
+// in pieces.
+func (c *Cache) NameLarge(objects []Object) (inline []Object, large []LargeObject) {
 	for i := range objects {
 		object := &objects[i]
-		if len(object.Content) < largeFrom {
-			told = append(told, *object)
+		if len(object.Content) < minLargeBytes {
+			inline = append(inline, *object)
 			continue
 		}
 		packed := c.versions.pack(object)
-		large = append(large, LargeObject{Name: object.Name, Revision: object.Revision, Size: len(packed), Sum: sumOf(packed)})
+		large = append(large, LargeObject{Name: object.Name, Revision: object.Revision, Size: len(packed), Sum: checksum(packed)})
 	}
-	return told, large
+	return inline, large
 }
 
-// Piece returns a piece of a version of an object, which may have been replaced
-// meanwhile. A version that is no longer kept is an Error with outcome NotFound.
+// Piece returns the piece of an object's version that starts at a byte offset of the compressed
+// content. Replaced versions are available for a while; otherwise the outcome of the error is
+// NotFound.
 func (c *Cache) Piece(name string, revision era.Revision, offset int) ([]byte, error) {
 	packed, found := c.versions.packedVersion(name, revision)
 	if !found || offset < 0 || offset >= len(packed) {
-		return nil, &Error{Outcome: NotFound, Detail: fmt.Sprintf("version %d of %q is not kept from byte %d on", revision, name, offset)}
+		return nil, &Error{Outcome: NotFound, Detail: fmt.Sprintf("version %d of %q is not available from byte %d on", revision, name, offset)}
 	}
 	return packed[offset:min(len(packed), offset+PieceBytes)], nil
 }
@@ -76,8 +76,7 @@
 	content  []byte
 }
 
-// pack returns the compressed content of an object and keeps it for those who ask for
-// its pieces.
+// pack returns the compressed content of an object and keeps it, so that its pieces can be fetched.
 func (v *versions) pack(object *Object) []byte {
 	if kept, found := v.packedVersion(object.Name, object.Revision); found {
 		return kept
@@ -89,7 +88,7 @@
 	return packed
 }
 
-// packedVersion returns the compressed content of a version that was asked for lately.
+// packedVersion returns the compressed content of a version that is still kept.
 func (v *versions) packedVersion(name string, revision era.Revision) ([]byte, bool) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
@@ -101,4 +100,4 @@
 	return nil, false
 }
 
-func sumOf(content []byte) uint64 { return xxhash.Sum64(content) }
+func checksum(content []byte) uint64 { return xxhash.Sum64(content) }
--- a/internal/proxy/objectstore/pieces_test.go
+++ b/internal/proxy/objectstore/pieces_test.go
@@ -11,14 +11,14 @@
 	"dewknot/internal/base/era"
 )
 
-// discard is a sink that takes everything.
+// discard is a sink that ignores all objects.
 type discard struct{ Sink }
 
 func (discard) Apply([]Object, era.Revision) {}
 func (discard) Reset([]Object, era.Revision) {}
 
-// textOf returns a text that compresses, different for each seed.
-func textOf(size int, seed uint64) []byte {
+// compressibleText returns a compressible text that depends on seed.
+func compressibleText(size int, seed uint64) []byte {
 	random := rand.New(rand.NewPCG(seed, 1))
 	var text bytes.Buffer
 	for text.Len() < size {
@@ -31,39 +31,40 @@
 	return text.Bytes()[:size]
 }
 
-// TestPiecesMakeTheObject: any object is told whole or in pieces that make it, and
-// pieces of a version can still be had after it was replaced.
-func TestPiecesMakeTheObject(t *testing.T) {
+// TestPiecesReassembleTheObject guards against objects that differ after a transfer in pieces, and
+// against pieces that become unavailable when their version is replaced.
+func TestPiecesReassembleTheObject(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		size := rapid.IntRange(0, 4*PieceBytes).Draw(rt, "size")
-		object := Object{Name: "main", Revision: 7, Content: textOf(size, uint64(size))}
+		object := Object{Name: "main", Revision: 7, Content: compressibleText(size, uint64(size))}
 		cache := NewCache(discard{})
 		cache.Apply([]Object{object}, 7)
-		told, large := cache.NameLarge([]Object{object})
-		if size < largeFrom {
-			must.Len(rt, 1, told)
+		inline, large := cache.NameLarge([]Object{object})
+		if size < minLargeBytes {
+			must.Len(rt, 1, inline)
 			must.SliceEmpty(rt, large)
 			return
 		}
 		must.Len(rt, 1, large)
 		must.Less(rt, size, large[0].Size)
-		cache.Apply([]Object{{Name: "main", Revision: 8, Content: textOf(size, 8)}}, 8)
+		cache.Apply([]Object{{Name: "main", Revision: 8, Content: compressibleText(size, 8)}}, 8)
 		var packed []byte
 		for len(packed) < large[0].Size {
 			piece, err := cache.Piece("main", 7, len(packed))
 			must.NoError(rt, err)
 			packed = append(packed, piece...)
 		}
-		made, err := large[0].Unpack(packed)
+		unpacked, err := large[0].Unpack(packed)
 		must.NoError(rt, err)
-		must.Eq(rt, object, made)
+		must.Eq(rt, object, unpacked)
 	})
 }
 
-// TestPiecesThatDoNotFitAreRefused: lost, mixed and made-up pieces make no object.
-func TestPiecesThatDoNotFitAreRefused(t *testing.T) {
+// TestMismatchedPiecesAreRejected guards against objects unpacked from missing, truncated or
+// altered pieces.
+func TestMismatchedPiecesAreRejected(t *testing.T) {
 	cache := NewCache(discard{})
-	object := Object{Name: "main", Revision: 7, Content: textOf(8*PieceBytes, 7)}
+	object := Object{Name: "main", Revision: 7, Content: compressibleText(8*PieceBytes, 7)}
 	_, large := cache.NameLarge([]Object{object})
 	_, err := cache.Piece("main", 6, 0)
 	must.Eq(t, NotFound, OutcomeOf(err))
@@ -83,7 +84,7 @@
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff, 0x0f, 1})
 	f.Add([]byte{4, 12, 'a', 'b', 'c', 'd'})
 	f.Fuzz(func(t *testing.T, packed []byte) {
-		large := LargeObject{Name: "main", Revision: 1, Size: len(packed), Sum: sumOf(packed)}
+		large := LargeObject{Name: "main", Revision: 1, Size: len(packed), Sum: checksum(packed)}
 		object, err := large.Unpack(packed)
 		if err == nil {
 			must.LessEq(t, maxUnpackedBytes, len(object.Content))
--- a/internal/proxy/objectstore/refused.go
+++ b/internal/proxy/objectstore/refused.go
@@ -7,12 +7,11 @@
 	"dewknot/internal/base/era"
 )
 
-// EntryError tells why an entry of the store is left out. Other writers than servers and nodes
-// may put entries there.
+// EntryError is the error of an invalid entry of the store, which is ignored. Programs other than
+// servers and nodes may write entries.
 type EntryError struct {
-	Kind string
-	Name string
-	// Reason is what is wrong with it.
+	Kind   string
+	Name   string
 	Reason string
 }
 
@@ -21,11 +20,11 @@
 	return fmt.Sprintf("entry %q of %s is left out: %s; its writer must correct or remove it", e.Name, e.Kind, e.Reason)
 }
 
-// mostRefused bounds the entries of which it is known that they were logged.
-const mostRefused = 256
+// maxRefused limits the refused entries that are remembered.
+const maxRefused = 256
 
-// RefusedEntries remembers at which revision an entry was last refused: entries that stay are
-// listed again and again. It is safe for concurrent use.
+// RefusedEntries remembers the revision at which each entry was last refused, so that an entry that
+// stays in the store is logged once and not at each listing. It is safe for concurrent use.
 type RefusedEntries struct {
 	mu   sync.Mutex
 	seen map[string]era.Revision
@@ -36,10 +35,10 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	key := kind + "/" + object.Name
-	if known, found := r.seen[key]; found && known == object.Revision {
+	if refusedAt, found := r.seen[key]; found && refusedAt == object.Revision {
 		return false
 	}
-	if r.seen == nil || len(r.seen) >= mostRefused {
+	if r.seen == nil || len(r.seen) >= maxRefused {
 		r.seen = map[string]era.Revision{}
 	}
 	r.seen[key] = object.Revision
