--- a/internal/proxy/catalog/catalog.go
+++ b/internal/proxy/catalog/catalog.go
@@ -1,9 +1,9 @@
-// Package catalog holds what a node knows of its deployment: the configuration
-// (routes, services, limits) and the directory of database servers.
+// Package catalog holds a node's view of its deployment: the configuration (routes, services,
+// tenants) and the directory of database servers.
 //
-// Readers take an immutable Snapshot through one atomic pointer; writers merge
-// what the store tells into a new one. Versions of the configuration never go
-// back within the life of a process.
+// Readers load an immutable Snapshot through an atomic pointer. Writers merge changes from the
+// store into a new snapshot. While a process runs, the version of its configuration never
+// decreases.
 package catalog
 
 import (
@@ -14,69 +14,68 @@
 	"dewknot/internal/base/era"
 )
 
-// Freshness is the guarantee that a route gives its reads.
+// Freshness is the freshness guarantee of a route's reads.
 type Freshness uint8
 
 // The freshness guarantees.
 const (
-	// Current reads see every commit acknowledged before they began.
+	// Current reads see every commit that was acknowledged before they began.
 	Current Freshness = iota
 	// BoundedStaleness reads may miss commits of the last MaxStaleness.
 	BoundedStaleness
-	// ReadYourWrites reads are bounded as well and see all commits of their session.
+	// ReadYourWrites reads have bounded staleness and also see all commits of their session.
 	ReadYourWrites
 )
 
-// Route says how the requests of one database are served.
+// Route configures how the requests for one database are served.
 type Route struct {
 	Name string
-	// Database is the name that callers ask for.
+	// Database is the database name that clients connect to.
 	Database  string
 	Service   string
 	Freshness Freshness
-	// MaxStaleness bounds the age of what reads may miss; unused for Current.
+	// MaxStaleness limits the age of commits that a read may miss. It is not used by Current.
 	MaxStaleness time.Duration
-	// StatementTimeout bounds a statement, from its arrival to its answer.
+	// StatementTimeout limits the time from a statement's arrival to its answer.
 	StatementTimeout time.Duration
 	// TargetLatency is the latency objective of an operation.
 	TargetLatency time.Duration
 	// Priority 0 is the highest.
 	Priority int
-	// Public routes serve callers without a key.
+	// Public routes accept callers without a key.
 	Public bool
-	// Homes are the regions to which the route's work may go.
+	// Homes are the regions in which the route's work may run.
 	Homes Homes
 }
 
 // Service is a group of one primary and its replicas.
 type Service struct {
 	Name string
-	// MaxConnections bounds the connections to one server from all nodes.
+	// MaxConnections limits the connections of all nodes to one server.
 	MaxConnections int
-	// SynchronousReplicas must have received a commit before it is acknowledged.
+	// SynchronousReplicas is how many replicas must receive a commit before it is acknowledged.
 	SynchronousReplicas int
-	// ColdPerSecond bounds the requests of all nodes together to a server that is cold; 0
-	// means that there is no bound.
+	// ColdPerSecond limits the rate of requests of all nodes to one cold server; 0 means no limit.
 	ColdPerSecond float64
 }
 
-// Configuration is a whole version of the operators' configuration.
+// Configuration is one version of the complete configuration by the operators.
 type Configuration struct {
 	Version  uint64
 	Routes   map[string]Route
 	Services map[string]Service
-	// Tenants holds the tenants by name; nil if the deployment has none, so that callers
-	// need no key. Keys holds the tenant of each key.
+	// Tenants holds the tenants by name. If it is nil, the deployment has no tenants and callers
+	// need no key. Keys maps each key to the name of its tenant.
 	Tenants map[string]Tenant
 	Keys    map[KeyDigest]string
-	// HasQuotas is set if some tenant has a quota, HasHomes if a route or a tenant has homes.
+	// HasQuotas is set if any tenant has a quota, HasHomes if any route or tenant has homes.
 	HasQuotas bool
 	HasHomes  bool
-	// TransactionIdle is how long a transaction may rest before it may be ended.
+	// TransactionIdle is how long a transaction may be idle before it may be ended.
 	TransactionIdle time.Duration
 }
 
-// Role is a server's part in its service, as it sees itself.
+// Role is the role that a server reports for itself in its service.
 type Role uint8
 
 // The roles of a server.
@@ -93,59 +92,59 @@
 	return "replica"
 }
 
-// Server is an entry of the directory.
+// Server is a server's entry in the directory.
 type Server struct {
 	ID      string
 	Service string
 	Address string
 	Zone    string
 	Slots   int
-	// ColdFor is for how long after the entry was written the server is slow from its start.
+	// ColdFor is how long after writing the entry the server is still cold, that is slow because it
+	// started recently.
 	ColdFor  time.Duration
 	Draining bool
 	Role     Role
 	// Revision is the store's revision of the entry.
 	Revision era.Revision
-	// Born tells the lives of a server apart that starts again under its ID: the time of its
-	// start, in milliseconds since 1970. It is 0 where servers don't tell it.
+	// Born identifies the server's incarnation: the start time of its process in milliseconds since
+	// the Unix epoch, or 0 for servers that don't report it.
 	Born int64
-	// LeavingSince is when this node learned that the server drains or is gone;
-	// zero for a server that stays.
+	// LeavingSince is when this node learned that the server is draining or gone; zero if neither.
 	LeavingSince time.Time
-	// Gone is set while the entry has vanished from the directory.
+	// Gone is set if the directory no longer has the entry.
 	Gone bool
-	// EvacuatedSince is when this node learned that the server's zone is evacuated; zero while
-	// it is not.
+	// EvacuatedSince is when this node learned that the server's zone is being evacuated; zero if
+	// it isn't.
 	EvacuatedSince time.Time
 }
 
-// Evacuated reports whether the server's zone is evacuated.
+// Evacuated reports whether the server's zone is being evacuated.
 func (s *Server) Evacuated() bool { return !s.EvacuatedSince.IsZero() }
 
-// Leaving reports whether the server drains or has left the directory.
+// Leaving reports whether the server is draining, gone from the directory or being evacuated.
 func (s *Server) Leaving() bool { return s.Draining || s.Gone || s.Evacuated() }
 
-// Snapshot is an immutable view of configuration and directory.
+// Snapshot is an immutable view of the configuration and the directory.
 type Snapshot struct {
 	Configuration *Configuration
-	// Servers holds the directory by server ID, with those that left lately.
+	// Servers holds the directory by server ID, including servers that left recently.
 	Servers map[string]*Server
-	// ByService lists the same servers by service, ordered by ID.
+	// ByService holds the same servers by service, ordered by ID.
 	ByService map[string][]*Server
-	// Evacuated holds the zones that are evacuated, by since when this node knows.
+	// Evacuated holds the evacuated zones and when this node learned of each evacuation.
 	Evacuated map[string]time.Time
 }
 
-// Catalog is the node's knowledge, safe for concurrent use.
+// Catalog holds the current snapshot. It is safe for concurrent use.
 type Catalog struct {
 	current atomic.Pointer[Snapshot]
 	mutex   sync.Mutex
-	// retention is how long a server that is gone stays known.
+	// retention is how long a server that is gone stays in the directory.
 	retention time.Duration
 	listeners []func(previous, current *Snapshot)
 }
 
-// New returns an empty catalog that keeps servers for retention after they are gone.
+// New returns an empty catalog. Servers that are gone stay in its directory for retention.
 func New(retention time.Duration) *Catalog {
 	catalog := &Catalog{retention: retention}
 	catalog.current.Store(&Snapshot{
@@ -154,17 +153,17 @@
 	return catalog
 }
 
-// Current returns the present snapshot; it must not be changed.
+// Current returns the current snapshot, which must not be modified.
 func (c *Catalog) Current() *Snapshot { return c.current.Load() }
 
-// OnChange registers a function that is called, one change at a time, after
-// each change. It must be called before the first change.
+// OnChange registers a function that is called after each change. Calls are serialized. OnChange
+// must be called before the first change.
 func (c *Catalog) OnChange(listener func(previous, current *Snapshot)) {
 	c.listeners = append(c.listeners, listener)
 }
 
-// ApplyConfiguration takes a configuration into force. It reports false, and
-// changes nothing, if the version is not newer than the one in force.
+// ApplyConfiguration activates a configuration. If its version is not newer than the active one, it
+// changes nothing and returns false.
 func (c *Catalog) ApplyConfiguration(configuration *Configuration) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -178,7 +177,8 @@
 	return true
 }
 
-// ReplaceDirectory takes a full listing of the directory; servers that it lacks are gone.
+// ReplaceDirectory applies a complete listing of the directory. Servers missing in it are marked as
+// gone.
 func (c *Catalog) ReplaceDirectory(servers []Server, revision era.Revision, now time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -198,10 +198,9 @@
 	})
 }
 
-// MergeDirectory takes changes of the directory in their order: entries that are
-// new or have changed, and with Gone set the IDs of those that have vanished. All
-// of them make one new snapshot, since a snapshot costs as much as the directory is
-// long and changes come in batches when a fleet starts.
+// MergeDirectory applies changes of the directory in order: new or changed entries, and for removed
+// entries the ID with Gone set. It publishes one snapshot for all changes, since each one copies
+// the directory and changes arrive in large batches when a fleet starts.
 func (c *Catalog) MergeDirectory(changes []Server, now time.Time) {
 	if len(changes) == 0 {
 		return
@@ -219,16 +218,17 @@
 	})
 }
 
-// ConfirmDirectory takes the word of a listing for servers that a store listed when it came
-// back from an older copy, and that were known to be gone. Since then their entries have not
-// changed, nor been removed for silence.
+// ConfirmDirectory makes servers available again that a store listed after it was restored from an
+// older copy, although they were known to be gone. It is called some time after the restore. A
+// server whose entry has stayed at the same revision is alive, since entries of dead servers have
+// been removed by then.
 func (c *Catalog) ConfirmDirectory(servers []Server, now time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.changeDirectory(now, func(directory map[string]*Server) {
 		for i := range servers {
-			known := directory[servers[i].ID]
-			if known == nil || (known.Gone && known.Revision == servers[i].Revision) {
+			previous := directory[servers[i].ID]
+			if previous == nil || (previous.Gone && previous.Revision == servers[i].Revision) {
 				delete(directory, servers[i].ID)
 				mergeServer(directory, servers[i], now)
 			}
@@ -246,7 +246,7 @@
 		directory[id] = server
 	}
 	change(directory)
-	previous.evacuate(directory)
+	previous.markEvacuated(directory)
 	next := *previous
 	next.Servers = directory
 	next.ByService = indexByService(directory)
--- a/internal/proxy/catalog/catalog_test.go
+++ b/internal/proxy/catalog/catalog_test.go
@@ -10,18 +10,18 @@
 	"dewknot/internal/base/era"
 )
 
-// countChanges counts the snapshots that a catalog publishes.
-func countChanges(c *Catalog) *int {
+// countSnapshots counts the snapshots that a catalog publishes.
+func countSnapshots(c *Catalog) *int {
 	published := new(int)
 	c.OnChange(func(_, _ *Snapshot) { *published++ })
 	return published
 }
 
-// TestMergeDirectoryPublishesOnce: a batch of changes makes one snapshot, whatever
-// its length, in which the last change of an entry counts.
+// TestMergeDirectoryPublishesOnce guards against a snapshot for each change of a batch, and against
+// an outdated entry if a batch changes it more than once.
 func TestMergeDirectoryPublishesOnce(t *testing.T) {
 	c := New(time.Minute)
-	published := countChanges(c)
+	published := countSnapshots(c)
 	now := time.Unix(1000, 0)
 	var changes []Server
 	for i := range 50 {
@@ -44,9 +44,9 @@
 	must.Eq(t, 1, *published)
 }
 
-// TestLeavingSinceStays: the time since which a server leaves is that of the first
-// entry that said so, until an entry says that it stays.
-func TestLeavingSinceStays(t *testing.T) {
+// TestLeavingSinceIsKept guards against a LeavingSince that moves with each entry of a leaving
+// server.
+func TestLeavingSinceIsKept(t *testing.T) {
 	c := New(time.Minute)
 	first := time.Unix(1000, 0)
 	merge := func(server Server, at time.Time) *Server {
@@ -61,8 +61,9 @@
 	must.False(t, merge(Server{Draining: true, Revision: 3}, first.Add(4*time.Second)).Draining, must.Sprint("an older revision"))
 }
 
-// TestGoneServersAreForgotten: a server that is gone stays known for the retention.
-func TestGoneServersAreForgotten(t *testing.T) {
+// TestGoneServersAreRemovedAfterRetention guards against servers that leave the directory at once,
+// or never.
+func TestGoneServersAreRemovedAfterRetention(t *testing.T) {
 	c := New(10 * time.Second)
 	now := time.Unix(1000, 0)
 	c.ReplaceDirectory([]Server{{ID: "s1", Service: "bookings"}, {ID: "s2", Service: "bookings"}}, 0, now)
@@ -72,10 +73,10 @@
 	must.MapNotContainsKey(t, c.Current().Servers, "s1")
 }
 
-// TestConfigurationNeverGoesBack: only a newer version changes anything.
-func TestConfigurationNeverGoesBack(t *testing.T) {
+// TestOlderConfigurationIsRejected guards against a configuration that replaces a newer one.
+func TestOlderConfigurationIsRejected(t *testing.T) {
 	c := New(time.Minute)
-	published := countChanges(c)
+	published := countSnapshots(c)
 	must.True(t, c.ApplyConfiguration(&Configuration{Version: 7}))
 	must.False(t, c.ApplyConfiguration(&Configuration{Version: 7}))
 	must.False(t, c.ApplyConfiguration(&Configuration{Version: 6}))
--- a/internal/proxy/catalog/merge.go
+++ b/internal/proxy/catalog/merge.go
@@ -6,23 +6,23 @@
 	"dewknot/internal/base/era"
 )
 
-// mergeServer takes a server's entry, unless it is older than what is known.
+// mergeServer applies a server's entry unless it is older than the known one.
 func mergeServer(directory map[string]*Server, server Server, now time.Time) {
-	known := directory[server.ID]
+	previous := directory[server.ID]
 	switch {
-	case known == nil || server.Born > known.Born:
-		// A server that is new, or has started again: nothing of an earlier life counts.
-		directory[server.ID] = entered(server, now)
-	case server.Born < known.Born:
-		// The entry of an earlier life, or one that another writer has put in its place.
-	case server.Revision < known.Revision:
+	case previous == nil || server.Born > previous.Born:
+		// A new or restarted server takes over nothing from an earlier incarnation.
+		directory[server.ID] = newEntry(server, now)
+	case server.Born < previous.Born:
+		// The entry is of an earlier incarnation, or was written by another program.
+	case server.Revision < previous.Revision:
 	default:
-		directory[server.ID] = renewed(known, server, now)
+		directory[server.ID] = updatedEntry(previous, server, now)
 	}
 }
 
-// entered returns the first entry of a server's life.
-func entered(server Server, now time.Time) *Server {
+// newEntry returns the first entry of a server's incarnation.
+func newEntry(server Server, now time.Time) *Server {
 	server.Gone, server.LeavingSince = false, time.Time{}
 	if server.Draining {
 		server.LeavingSince = now
@@ -30,32 +30,31 @@
 	return &server
 }
 
-// renewed returns a later entry of the same life. The time since which a server leaves is kept
-// across repeated entries. What a store says that has come back from an older copy was true
-// before: a server that it lists stays gone until its entry changes, and one that has said
-// that it drains does not take that back.
-func renewed(known *Server, server Server, now time.Time) *Server {
-	restored := server.Revision.Era() > known.Revision.Era()
-	if restored && known.Gone {
-		gone := *known
+// updatedEntry returns a later entry of the same incarnation. It keeps the start of an ongoing
+// drain. A store that was restored from an older copy reports past states: a server that is gone
+// stays so until its entry changes, and a draining server stays draining.
+func updatedEntry(previous *Server, server Server, now time.Time) *Server {
+	restored := server.Revision.Era() > previous.Revision.Era()
+	if restored && previous.Gone {
+		gone := *previous
 		gone.Revision = server.Revision
 		return &gone
 	}
-	server.Draining = server.Draining || (restored && known.Draining)
-	next := entered(server, now)
-	if known.Draining && next.Draining {
-		next.LeavingSince = known.LeavingSince
+	server.Draining = server.Draining || (restored && previous.Draining)
+	next := newEntry(server, now)
+	if previous.Draining && next.Draining {
+		next.LeavingSince = previous.LeavingSince
 	}
 	return next
 }
 
-// markGone notes that a server's entry has vanished from the directory at a revision.
+// markGone marks a server as gone because the directory lacks its entry as of a revision.
 func markGone(directory map[string]*Server, id string, revision era.Revision, now time.Time) {
-	known := directory[id]
-	if known == nil || known.Gone {
+	previous := directory[id]
+	if previous == nil || previous.Gone {
 		return
 	}
-	gone := *known
+	gone := *previous
 	gone.Gone, gone.Revision = true, max(gone.Revision, revision)
 	if gone.LeavingSince.IsZero() {
 		gone.LeavingSince = now
--- a/internal/proxy/catalog/tenant.go
+++ b/internal/proxy/catalog/tenant.go
@@ -9,9 +9,8 @@
 	"github.com/pkg/errors"
 )
 
-// KeyDigest stands for a caller's API key. Keys are secrets: a node keeps, compares and
-// looks up digests only, so that no key reaches a log and the time of a lookup tells
-// nothing of one.
+// KeyDigest is the digest of a caller's API key. A node stores and compares only digests, so that
+// no key can reach a log and the duration of a lookup reveals nothing about a key.
 type KeyDigest [sha256.Size]byte
 
 // DigestKey returns the digest of a key.
@@ -25,31 +24,30 @@
 // UnmarshalText implements encoding.TextUnmarshaler.
 func (d *KeyDigest) UnmarshalText(text []byte) error {
 	if hex.DecodedLen(len(text)) != len(d) {
-		return errors.Errorf("a key's digest has %d hexadecimal digits; write it with MarshalText", 2*len(d))
+		return errors.Errorf("a key digest must have %d hexadecimal digits; encode it with MarshalText", 2*len(d))
 	}
 	_, err := hex.Decode(d[:], text)
-	return errors.Wrap(err, "decode a key's digest")
+	return errors.Wrap(err, "decode a key digest")
 }
 
-// Quota is what a tenant's operations may be over all nodes: a rate, and how many more at
-// once.
+// Quota limits the operations of a tenant on all nodes together to a rate, with bursts above it.
 type Quota struct {
 	PerSecond float64
 	Burst     float64
 }
 
-// Tenant is a customer of the operator, on whose behalf callers work.
+// Tenant is a customer of the operator, for whom callers work.
 type Tenant struct {
 	Name string
 	Keys []KeyDigest
 	// Quota is nil for a tenant without a limit.
 	Quota *Quota
-	// Homes are the regions to which the tenant's work may go.
+	// Homes are the regions in which the tenant's work may run.
 	Homes Homes
 }
 
-// SetTenants gives the configuration its tenants, from whom on callers need a key. It
-// refuses tenants that cannot be told apart, or whose quota has no meaning.
+// SetTenants sets the tenants of the configuration; with tenants, callers need a key. It fails if
+// names or keys are not unique, or if a name or a quota is invalid.
 func (c *Configuration) SetTenants(tenants []Tenant) error {
 	c.Tenants = make(map[string]Tenant, len(tenants))
 	c.Keys = make(map[KeyDigest]string, 2*len(tenants))
@@ -65,16 +63,16 @@
 	if err := checkTenantName(tenant.Name); err != nil {
 		return err
 	}
-	if _, twice := c.Tenants[tenant.Name]; twice {
-		return errors.Errorf("tenant %q is named twice; give each tenant one entry", tenant.Name)
+	if _, duplicate := c.Tenants[tenant.Name]; duplicate {
+		return errors.Errorf("tenant %q is listed more than once; give each tenant one entry", tenant.Name)
 	}
 	if quota := tenant.Quota; quota != nil && !(quota.PerSecond >= 0 && quota.Burst >= 0) {
-		return errors.Errorf("tenant %q has a rate of %v and a burst of %v; use numbers from 0, or leave both out for no limit",
+		return errors.Errorf("tenant %q has a rate of %v and a burst of %v; use numbers from 0 up, or omit both for no limit",
 			tenant.Name, quota.PerSecond, quota.Burst)
 	}
 	for _, key := range tenant.Keys {
-		if other, held := c.Keys[key]; held && other != tenant.Name {
-			return errors.Errorf("a key is held by tenants %q and %q; give it to one of them", other, tenant.Name)
+		if other, taken := c.Keys[key]; taken && other != tenant.Name {
+			return errors.Errorf("tenants %q and %q have the same key; give it to only one of them", other, tenant.Name)
 		}
 		c.Keys[key] = tenant.Name
 	}
@@ -84,29 +82,30 @@
 	return nil
 }
 
-// checkTenantName refuses names that servers cannot be told: they are one word of a line.
+// checkTenantName rejects names with white space or control characters, since a name is sent to
+// servers as a single word of a line.
 func checkTenantName(name string) error {
-	odd := strings.ContainsFunc(name, func(r rune) bool { return unicode.IsSpace(r) || unicode.IsControl(r) })
-	if name == "" || odd {
-		return errors.Errorf("tenant name %q is empty or has blanks or control characters; rename the tenant", name)
+	invalid := strings.ContainsFunc(name, func(r rune) bool { return unicode.IsSpace(r) || unicode.IsControl(r) })
+	if name == "" || invalid {
+		return errors.Errorf("tenant name %q is empty or contains white space or control characters; rename the tenant", name)
 	}
 	return nil
 }
 
-// Access is what a caller's key allows on a route.
+// Access is the access of a caller to a route.
 type Access uint8
 
 // The kinds of access.
 const (
-	// Denied: the route needs a key that the configuration does not hold.
+	// Denied: the route requires a key, and the caller's key is missing or unknown.
 	Denied Access = iota
-	// Anonymous: the route needs no key, and the caller has none that is known.
+	// Anonymous: the route requires no key, and the caller's key is missing or unknown.
 	Anonymous
-	// Identified: the key is a tenant's.
+	// Identified: the key belongs to a tenant.
 	Identified
 )
 
-// Identify returns the tenant whose key a caller brings to a route, and what it may do.
+// Identify returns a caller's access to a route, and the tenant to which the key belongs.
 func (c *Configuration) Identify(route *Route, key KeyDigest) (tenant string, access Access) {
 	if name, found := c.Keys[key]; found {
 		return name, Identified
--- a/internal/proxy/catalog/tenant_test.go
+++ b/internal/proxy/catalog/tenant_test.go
@@ -9,11 +9,12 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestTenantsThatAreRefused: each error names the tenant and what to do, and no key.
-func TestTenantsThatAreRefused(t *testing.T) {
+// TestInvalidTenantsAreRejected guards against invalid tenants in a configuration, and against keys
+// in error messages.
+func TestInvalidTenantsAreRejected(t *testing.T) {
 	const secret = "secret-key"
 	key := []KeyDigest{DigestKey(secret)}
-	for name, tenants := range map[string][]Tenant{
+	for message, tenants := range map[string][]Tenant{
 		"one of them":  {{Name: "a", Keys: key}, {Name: "b", Keys: key}},
 		"one entry":    {{Name: "a"}, {Name: "a"}},
 		"rename":       {{Name: "a b"}},
@@ -22,37 +23,39 @@
 		"no limit":     {{Name: "a", Quota: &Quota{PerSecond: 1, Burst: math.NaN()}}},
 	} {
 		err := new(Configuration).SetTenants(tenants)
-		must.ErrorContains(t, err, name)
+		must.ErrorContains(t, err, message)
 		must.StrNotContains(t, err.Error(), secret)
 	}
 	must.NoError(t, new(Configuration).SetTenants([]Tenant{{Name: "a"}, {Name: "b", Keys: append(key, key...), Quota: &Quota{}}}))
 }
 
-// TestIdentify: routes need a key once there are tenants, unless they are public.
+// TestIdentify guards against access without a key to a route that isn't public once there are
+// tenants.
 func TestIdentify(t *testing.T) {
-	open, closed := Route{Public: true}, Route{}
-	none := new(Configuration)
-	_, access := none.Identify(&closed, DigestKey("any"))
+	publicRoute, privateRoute := Route{Public: true}, Route{}
+	withoutTenants := new(Configuration)
+	_, access := withoutTenants.Identify(&privateRoute, DigestKey("any"))
 	must.Eq(t, Anonymous, access)
-	some := new(Configuration)
-	must.NoError(t, some.SetTenants([]Tenant{{Name: "a", Keys: []KeyDigest{DigestKey("k1"), DigestKey("k2")}}}))
+	withTenants := new(Configuration)
+	must.NoError(t, withTenants.SetTenants([]Tenant{{Name: "a", Keys: []KeyDigest{DigestKey("k1"), DigestKey("k2")}}}))
 	for key, expected := range map[string]Access{"k1": Identified, "k2": Identified, "k": Denied, "": Denied, "a": Denied} {
-		_, access = some.Identify(&closed, DigestKey(key))
+		_, access = withTenants.Identify(&privateRoute, DigestKey(key))
 		must.Eq(t, expected, access, must.Sprint(key))
 	}
-	tenant, access := some.Identify(&open, DigestKey("k1"))
+	tenant, access := withTenants.Identify(&publicRoute, DigestKey("k1"))
 	must.Eq(t, "a", tenant)
 	must.Eq(t, Identified, access)
-	_, access = some.Identify(&open, DigestKey("other"))
+	_, access = withTenants.Identify(&publicRoute, DigestKey("other"))
 	must.Eq(t, Anonymous, access)
-	empty := new(Configuration)
-	must.NoError(t, empty.SetTenants(nil))
-	_, access = empty.Identify(&closed, DigestKey("any"))
-	must.Eq(t, Denied, access, must.Sprint("a deployment whose tenants are all gone is not open to everybody"))
+	tenantsRemoved := new(Configuration)
+	must.NoError(t, tenantsRemoved.SetTenants(nil))
+	_, access = tenantsRemoved.Identify(&privateRoute, DigestKey("any"))
+	must.Eq(t, Denied, access, must.Sprint("removing all tenants must not give access to everybody"))
 }
 
-// TestDigestsAreKeptInJSON: stand-ins keep configurations as JSON.
-func TestDigestsAreKeptInJSON(t *testing.T) {
+// TestKeyDigestJSONRoundTrip guards against key digests that are lost in JSON, in which
+// stand-in stores keep configurations.
+func TestKeyDigestJSONRoundTrip(t *testing.T) {
 	written := new(Configuration)
 	must.NoError(t, written.SetTenants([]Tenant{{Name: "a", Keys: []KeyDigest{DigestKey("k")}}}))
 	content, err := json.Marshal(written)
@@ -64,8 +67,6 @@
 	must.Error(t, digest.UnmarshalText([]byte("00")))
 }
 
-// BenchmarkIdentify looks a key up: 14 ns and no allocation with one tenant and with
-// 10,000 tenants of two keys each, where there was no lookup before.
 func BenchmarkIdentify(b *testing.B) {
 	for _, count := range []int{1, 10_000} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
