--- a/internal/proxy/tenure/keeper.go
+++ b/internal/proxy/tenure/keeper.go
@@ -1,9 +1,9 @@
-// Package tenure keeps a node's part in the agreement on primaries: it carries the
-// messages of package quorum, renews the node's leases, and moves the table of voters
-// to its next era when voters are lost.
+// Package tenure runs a node's part of the agreement on primaries. It exchanges the messages of
+// package quorum with other nodes, renews the node's leases, and replaces the table of voters by
+// its next generation when voters fail.
 //
-// What it tells of a service is a quorum.View, read on a request's path without a
-// lock. Candidates prepare, choose and open tenures through it.
+// A service's state is published as a quorum.View, which requests read without a lock. Candidates
+// for the primary role use Keeper to prepare, choose and open tenures.
 package tenure
 
 import (
@@ -19,63 +19,63 @@
 	"dewknot/internal/proxy/quorum"
 )
 
-// Times of the runtime.
+// Timing of a Keeper.
 const (
-	// busyInterval is the pause between looks while this node's voter waits for
-	// leases to end or has no memory.
+	// busyInterval is the pause between ticks while this node's voter waits for leases to expire or
+	// recovers its state.
 	busyInterval = 40 * time.Millisecond
-	// eagerSpan is how long after a request has asked for leases voters are asked eagerly.
-	eagerSpan = 100 * time.Millisecond
-	// partialSpan is how long the nearest voters may disagree on an open tenure until all are
-	// asked: news of it reach them within some round trips.
-	partialSpan = 150 * time.Millisecond
-	// storeLimit bounds a call to the store.
-	storeLimit = 1500 * time.Millisecond
+	// eagerDuration is how long after a request needed leases the voters are asked eagerly.
+	eagerDuration = 100 * time.Millisecond
+	// partialTimeout is how long the nearest voters may disagree on an open tenure before all
+	// voters are asked. They normally learn of it within a few round trips.
+	partialTimeout = 150 * time.Millisecond
+	// storeTimeout bounds a call to the store.
+	storeTimeout = 1500 * time.Millisecond
 )
 
-// Peer is another node, as the members in the store tell of it.
+// Peer is another node, as listed by the members in the store.
 type Peer struct {
 	Name    string
 	Address string
 	Zone    string
-	// Region is the zone's; "" if it is not known.
+	// Region is the zone's region; "" if it is not known.
 	Region string
-	// Capacity is how much work the node takes compared with others; 0 if it is not known.
+	// Capacity is the node's relative capacity for work; 0 if it is not known.
 	Capacity float64
 }
 
-// Sender sends messages to other nodes; they may get lost.
+// Sender sends messages to other nodes. Messages may be lost.
 type Sender interface {
 	// SendMessage sends a message to the node at an address.
 	SendMessage(address string, m *quorum.Message)
 }
 
-// Config configures a keeper.
+// Config configures a Keeper.
 type Config struct {
 	Name   string
 	Zone   string
 	Region string
-	// Address is where other nodes' messages reach this one.
+	// Address is this node's address for messages.
 	Address string
-	// Capacity is this node's, as Peer has the others'.
+	// Capacity is this node's, as in Peer.
 	Capacity float64
-	// Life is unique to the process.
+	// Life identifies the incarnation of the node's process.
 	Life  uint64
 	Store objectstore.Store
-	// StoreEra returns the latest era of the store that is known.
+	// StoreEra returns the latest known era of the store.
 	StoreEra func() uint64
 	Kind     string
 	Sender   Sender
-	// Peers returns the other nodes that are known; nil while no list of them has come.
+	// Peers returns the other known nodes, or nil before the first list of them is loaded.
 	Peers func() []Peer
-	// Changed is called when a service's view has changed, Voiced when a majority of
-	// voters has become known to take part.
+	// Changed is called when a service's view changes, Voiced when the records of a majority of
+	// voters become complete.
 	Changed func(service string)
 	Voiced  func()
 	Log     *eventlog.Log
 }
 
-// Keeper is a node's part in the agreement. It is safe for concurrent use.
+// Keeper runs a node's part of the agreement. It is safe for concurrent use.
 type Keeper struct {
 	cfg     Config
 	started time.Time
@@ -85,42 +85,42 @@
 	member *quorum.Member
 	// tableRevision is the store's revision of the table.
 	tableRevision era.Revision
-	// wantedAt is when a request last asked for leases, widelyAt when one did for which the
-	// nearest voters do not suffice.
-	wantedAt time.Time
-	widelyAt time.Time
-	sequence uint64
-	rounds   map[uint64]*round
-	// lives are the processes of peers that have answered an inquiry.
-	lives map[string]peerLife
-	// fetching is set while the table is read from the store.
+	// leasesRequestedAt is when a request last asked for leases, allVotersRequestedAt when a
+	// request last needed more than the nearest voters.
+	leasesRequestedAt    time.Time
+	allVotersRequestedAt time.Time
+	sequence             uint64
+	rounds               map[uint64]*round
+	// incarnations are the incarnations of the peers that answered an inquiry.
+	incarnations map[string]peerIncarnation
+	// fetching is set while the table is being read from the store.
 	fetching bool
-	// ending is the end of the present era, nil if none was begun. It belongs to the goroutine
-	// that keeps the table.
-	ending *quorum.Sealing
-	// sealings takes the answers of voters while an era is ended; nil otherwise.
-	sealings chan quorum.Message
+	// activeSealing ends the current generation of the table, nil if none has begun. Only the
+	// goroutine of keepTable uses it.
+	activeSealing *quorum.Sealing
+	// sealAnswers receives the voters' answers while a generation is being sealed; nil otherwise.
+	sealAnswers chan quorum.Message
 
 	views sync.Map // service to *quorum.View
-	// granted is closed and replaced when leases were granted, or views changed, while
-	// somebody waits.
-	granted chan struct{}
-	waiting int
-	wake    chan struct{}
+	// progress is closed and replaced at each received message while there are waiters: leases may
+	// have been granted, or views changed.
+	progress chan struct{}
+	waiters  int
+	wake     chan struct{}
 }
 
-// New returns a keeper that does nothing before Run.
+// New returns a keeper that is idle until Run is called.
 func New(cfg Config) *Keeper {
 	now := time.Now()
 	return &Keeper{
 		cfg: cfg, started: now, voter: quorum.NewVoter(cfg.Name, cfg.Life, now),
 		member: quorum.NewMember(cfg.Name, cfg.Life, now), sequence: quorum.FirstSequence(cfg.Life),
-		rounds: map[uint64]*round{}, lives: map[string]peerLife{},
-		granted: make(chan struct{}), wake: make(chan struct{}, 1),
+		rounds: map[uint64]*round{}, incarnations: map[string]peerIncarnation{},
+		progress: make(chan struct{}), wake: make(chan struct{}, 1),
 	}
 }
 
-// Run keeps the node's part until ctx ends.
+// Run renews leases and maintains the table until ctx is done.
 func (k *Keeper) Run(ctx context.Context) {
 	go k.keepTable(ctx)
 	timer := time.NewTimer(0)
@@ -136,21 +136,21 @@
 	}
 }
 
-// rouse makes the next look come at once.
-func (k *Keeper) rouse() {
+// wakeUp makes Run tick again at once.
+func (k *Keeper) wakeUp() {
 	select {
 	case k.wake <- struct{}{}:
 	default:
 	}
 }
 
-// tick asks for leases that are due, and returns the pause until the next look.
+// tick sends the lease requests that are due and returns the pause until the next tick.
 func (k *Keeper) tick(now time.Time) time.Duration {
 	k.mu.Lock()
 	out, busy := k.voter.Tick(now)
-	questions, next := k.due(now)
+	requests, next := k.dueRequests(now)
 	k.mu.Unlock()
-	k.send(append(out, questions...))
+	k.send(append(out, requests...))
 	pause := max(next.Sub(now), time.Millisecond)
 	if busy {
 		return min(pause, busyInterval)
@@ -158,24 +158,25 @@
 	return pause
 }
 
-// due asks the voters that are to be asked now; the lock is held.
-func (k *Keeper) due(now time.Time) ([]quorum.Envelope, time.Time) {
+// dueRequests returns the requests to voters that are due, and when the next ones are. k.mu must be
+// held.
+func (k *Keeper) dueRequests(now time.Time) ([]quorum.Envelope, time.Time) {
 	if table := k.member.Table(); table != nil && !k.member.Placed() {
 		k.member.SetDistances(k.distances(table))
 	}
-	haste := quorum.Calm
+	mode := quorum.Calm
 	switch {
 	case k.voter.Recovering():
-		haste = quorum.Urgent
-	case now.Sub(k.widelyAt) < eagerSpan:
-		haste = quorum.Wide
-	case now.Sub(k.wantedAt) < eagerSpan:
-		haste = quorum.Eager
+		mode = quorum.Urgent
+	case now.Sub(k.allVotersRequestedAt) < eagerDuration:
+		mode = quorum.Wide
+	case now.Sub(k.leasesRequestedAt) < eagerDuration:
+		mode = quorum.Eager
 	}
-	return k.member.Due(now, haste)
+	return k.member.Due(now, mode)
 }
 
-// send delivers messages; those to this node itself do not travel.
+// send sends messages. Those to this node itself are handled locally.
 func (k *Keeper) send(out []quorum.Envelope) {
 	for i := range out {
 		if out[i].To == k.cfg.Address {
@@ -186,49 +187,49 @@
 	}
 }
 
-// Receive takes a message from the node at an address.
+// Receive handles a message from the node at an address.
 func (k *Keeper) Receive(from string, m *quorum.Message) {
 	now := time.Now()
 	k.mu.Lock()
 	var out []quorum.Envelope
 	var changed []string
-	voiced := false
+	votersReady := false
 	switch {
 	case m.Kind.ForVoter():
 		out = k.voter.Step(now, from, m)
 		if m.Kind == quorum.Prepare || m.Kind == quorum.Open {
-			k.rouse()
+			k.wakeUp()
 		}
 	case m.Kind == quorum.Inquire:
 		out = []quorum.Envelope{{To: from, Message: k.announcement(m.From, m.Sequence)}}
 	default:
-		before := k.votable()
+		before := k.hasVoterMajority()
 		out, changed = k.member.Step(now, from, m)
-		voiced = !before && k.votable()
-		out = append(out, k.learn(from, m)...)
-		k.recover(now)
+		votersReady = !before && k.hasVoterMajority()
+		out = append(out, k.handleTable(from, m)...)
+		k.recoverVoter(now)
 		if !k.member.Settled() {
-			// Whoever has answered may be asked again sooner than whoever has not.
-			k.rouse()
+			// The voters that have answered can be asked again sooner than the others.
+			k.wakeUp()
 		}
-		k.answered(m)
-		k.sealed(m)
+		k.handleRoundAnswer(m)
+		k.handleSealed(m)
 	}
 	changed = k.publish(changed)
-	if k.waiting > 0 {
-		close(k.granted)
-		k.granted = make(chan struct{})
+	if k.waiters > 0 {
+		close(k.progress)
+		k.progress = make(chan struct{})
 	}
 	k.mu.Unlock()
 	k.send(out)
-	k.tellChanged(changed)
-	if voiced {
+	k.notifyChanged(changed)
+	if votersReady {
 		k.cfg.Voiced()
 	}
 }
 
-// publish makes the views of services public, and returns the services whose tenure has
-// changed; the lock is held.
+// publish updates the public views of services, and returns the services whose tenure changed. k.mu
+// must be held.
 func (k *Keeper) publish(services []string) []string {
 	var changed []string
 	for _, service := range services {
@@ -241,7 +242,7 @@
 	return changed
 }
 
-func (k *Keeper) tellChanged(changed []string) {
+func (k *Keeper) notifyChanged(changed []string) {
 	for _, service := range changed {
 		view := k.View(service)
 		k.cfg.Log.Write(eventlog.TenureChanged, zap.String("service", service), zap.Uint64("ballot", view.Tenure.Ballot),
@@ -250,7 +251,7 @@
 	}
 }
 
-// announcement tells a node the table; the lock is held.
+// announcement returns a message that tells a node the table. k.mu must be held.
 func (k *Keeper) announcement(name string, sequence uint64) quorum.Message {
 	m := quorum.Message{Kind: quorum.Announce, From: k.cfg.Name, Life: k.cfg.Life, Sequence: sequence}
 	if table := k.voter.Table(); table != nil {
@@ -259,10 +260,11 @@
 	return m
 }
 
-// learn takes what a message tells of tables and of its sender; the lock is held.
-func (k *Keeper) learn(from string, m *quorum.Message) []quorum.Envelope {
+// handleTable records the sender's incarnation and adopts a newer table from a message. It answers
+// a sender with an older table. k.mu must be held.
+func (k *Keeper) handleTable(from string, m *quorum.Message) []quorum.Envelope {
 	if m.Kind == quorum.Announce {
-		k.lives[m.From] = peerLife{m.Life, time.Now()}
+		k.incarnations[m.From] = peerIncarnation{m.Life, time.Now()}
 	}
 	known := k.voter.Table()
 	if m.Table != nil && (known == nil || m.Table.Era > known.Era) {
@@ -274,10 +276,11 @@
 	return nil
 }
 
-// adopt takes a newer table that another node has told; the lock is held. A node that
-// begins the era with the table's records needs them from the store.
+// adopt installs a newer table from another node. If the table lacks its records and this node's
+// voter needs them to start the generation, adopt reads it from the store instead. k.mu must be
+// held.
 func (k *Keeper) adopt(table *quorum.Table) {
-	if seat := table.Seat(k.cfg.Name); seat != nil && seat.Life == k.cfg.Life && !table.Whole() {
+	if entry := table.Seat(k.cfg.Name); entry != nil && entry.Life == k.cfg.Life && !table.Whole() {
 		k.fetchSoon()
 		return
 	}
@@ -285,7 +288,7 @@
 	go k.announce(table, false)
 }
 
-// install takes a newer table; the lock is held.
+// install replaces the table by a newer one. k.mu must be held.
 func (k *Keeper) install(now time.Time, table *quorum.Table) {
 	known := k.voter.Table()
 	if known != nil && table.Era <= known.Era {
@@ -294,14 +297,15 @@
 	k.voter.Install(now, table)
 	k.member.SetDistances(k.distances(table))
 	changed := k.publish(k.member.SetTable(now, table))
-	go k.tellChanged(changed)
-	k.rouse()
+	go k.notifyChanged(changed)
+	k.wakeUp()
 	k.cfg.Log.Write(eventlog.VotersChanged, zap.Uint64("era", table.Era), zap.Int("voters", len(table.Seats)),
 		zap.Bool("voting", k.voter.Normal()), zap.Int("records", len(table.Records)))
 }
 
-// recover lets this node's voter take part again once it knows enough; the lock is held.
-func (k *Keeper) recover(now time.Time) {
+// recoverVoter lets this node's voter take part again once it has enough records. k.mu must be
+// held.
+func (k *Keeper) recoverVoter(now time.Time) {
 	if !k.voter.Recovering() {
 		return
 	}
@@ -311,14 +315,14 @@
 	}
 }
 
-// sealed gives a voter's answer to the end of an era; the lock is held.
-func (k *Keeper) sealed(m *quorum.Message) {
-	if m.Kind != quorum.Sealed || k.sealings == nil {
+// handleSealed passes a voter's answer to the sealing in progress. k.mu must be held.
+func (k *Keeper) handleSealed(m *quorum.Message) {
+	if m.Kind != quorum.Sealed || k.sealAnswers == nil {
 		return
 	}
 	select {
-	case k.sealings <- *m:
+	case k.sealAnswers <- *m:
 	default:
-		// The question is repeated to whoever seems not to have answered.
+		// The queue is full. The request is repeated to voters without a recorded answer.
 	}
 }
--- a/internal/proxy/tenure/keeper_test.go
+++ b/internal/proxy/tenure/keeper_test.go
@@ -18,31 +18,31 @@
 	"dewknot/internal/proxy/quorum"
 )
 
-// network carries messages between keepers, some milliseconds late.
+// network delivers messages between keepers after a latency.
 type network struct {
-	mu      sync.Mutex
-	keepers map[string]*Keeper
-	cancels map[string]context.CancelFunc
-	silent  map[string]bool
-	store   *managed.Store
-	log     *eventlog.Log
-	lives   uint64
-	// links limit what nodes send; nil if they do not.
+	mu           sync.Mutex
+	keepers      map[string]*Keeper
+	cancels      map[string]context.CancelFunc
+	silent       map[string]bool
+	store        *managed.Store
+	log          *eventlog.Log
+	incarnations uint64
+	// links limit the bandwidth of nodes; nil without a limit.
 	links *links
-	// way is how long each message takes besides.
-	way time.Duration
-	// placeOf returns a node's zone and region; nil if each has a zone of its own.
-	placeOf func(name string) (zone, region string)
+	// latency is added to the delivery of each message.
+	latency time.Duration
+	// locationOf returns a node's zone and region; nil if each node has its own zone.
+	locationOf func(name string) (zone, region string)
 }
 
-// end is one keeper's end of the network.
-type end struct {
+// endpoint is one keeper's access to the network.
+type endpoint struct {
 	*network
 	name string
 }
 
 // SendMessage implements Sender.
-func (e *end) SendMessage(address string, m *quorum.Message) {
+func (e *endpoint) SendMessage(address string, m *quorum.Message) {
 	sent, delay := *m, time.Duration(0)
 	if e.links != nil {
 		e.mu.Lock()
@@ -54,7 +54,7 @@
 		delay = took
 	}
 	e.mu.Lock()
-	delay += e.way
+	delay += e.latency
 	e.mu.Unlock()
 	time.AfterFunc(delay, func() {
 		e.mu.Lock()
@@ -70,8 +70,8 @@
 func newNetwork(nodes int) *network {
 	n := &network{
 		keepers: map[string]*Keeper{}, cancels: map[string]context.CancelFunc{}, silent: map[string]bool{}, store: managed.NewStore(),
-		way: 2 * time.Millisecond,
-		log: eventlog.New(io.Discard, eventlog.Config{Node: "test", LinesPerSecond: 1}),
+		latency: 2 * time.Millisecond,
+		log:     eventlog.New(io.Discard, eventlog.Config{Node: "test", LinesPerSecond: 1}),
 	}
 	for i := range nodes {
 		n.start(fmt.Sprintf("k%d", i))
@@ -82,31 +82,31 @@
 func (n *network) start(name string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.lives++
+	n.incarnations++
 	ctx, cancel := context.WithCancel(context.Background())
-	zone, region := n.place(name)
+	zone, region := n.location(name)
 	k := New(Config{
-		Name: name, Zone: zone, Region: region, Address: name, Life: n.lives, Store: n.store.Client(name), Kind: managed.VoterKind,
-		Sender: &end{n, name}, Peers: func() []Peer { return n.peersOf(name) }, StoreEra: n.store.Era, Changed: func(string) {}, Voiced: func() {}, Log: n.log,
+		Name: name, Zone: zone, Region: region, Address: name, Life: n.incarnations, Store: n.store.Client(name), Kind: managed.VoterKind,
+		Sender: &endpoint{n, name}, Peers: func() []Peer { return n.peersOf(name) }, StoreEra: n.store.Era, Changed: func(string) {}, Voiced: func() {}, Log: n.log,
 	})
 	n.keepers[name], n.cancels[name] = k, cancel
 	go k.Run(ctx)
 }
 
-func (n *network) place(name string) (zone, region string) {
-	if n.placeOf == nil {
+func (n *network) location(name string) (zone, region string) {
+	if n.locationOf == nil {
 		return name, ""
 	}
-	return n.placeOf(name)
+	return n.locationOf(name)
 }
 
-func (n *network) setWay(way time.Duration) {
+func (n *network) setLatency(latency time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.way = way
+	n.latency = latency
 }
 
-// setSilent loses all messages to and from a keeper, or lets them pass again.
+// setSilent drops all messages to and from a keeper, or delivers them again.
 func (n *network) setSilent(name string, silent bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -126,19 +126,19 @@
 	var peers []Peer
 	for other := range n.keepers {
 		if other != name {
-			zone, region := n.place(other)
+			zone, region := n.location(other)
 			peers = append(peers, Peer{Name: other, Address: other, Zone: zone, Region: region})
 		}
 	}
 	return peers
 }
 
-// anyKeeper returns the first keeper that runs.
+// anyKeeper returns the running keeper whose name sorts first.
 func (n *network) anyKeeper() *Keeper {
 	return n.keepers[slices.Min(slices.Collect(maps.Keys(n.keepers)))]
 }
 
-func (n *network) end() {
+func (n *network) stop() {
 	for name := range n.cancels {
 		n.cancels[name]()
 	}
@@ -146,78 +146,80 @@
 	n.log.Close()
 }
 
-// opened opens a tenure through a keeper.
-func opened(t *testing.T, k *Keeper, ballot uint64, primary string) {
+// openTenure opens a tenure through a keeper.
+func openTenure(t *testing.T, k *Keeper, ballot uint64, primary string) {
 	t.Helper()
 	must.True(t, k.Prepare("s", ballot).Agreed)
 	must.True(t, k.Open("s", quorum.Tenure{Ballot: ballot, Primary: primary}, 1, false).Agreed)
 	time.Sleep(20 * time.Millisecond)
 }
 
-// TestFleetAgrees: nodes that start together make one table, a tenure that one opens is
-// covered on all, and a lease that ran out is renewed for an answer that waits.
-func TestFleetAgrees(t *testing.T) {
+// TestNodesAgreeOnTenure guards against nodes that disagree on the table or on a tenure, and
+// against answers that are confirmed under a superseded tenure or without leases.
+func TestNodesAgreeOnTenure(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		n := newNetwork(6)
 		time.Sleep(6 * time.Second)
 		must.Eq(t, 1, n.store.Count(managed.VoterKind))
-		least, voiceless := n.keepers["k3"].Standing()
-		must.False(t, voiceless)
-		must.Positive(t, least)
-		opened(t, n.keepers["k3"], least+1, "a")
-		held := quorum.Tenure{Ballot: least + 1, Primary: "a"}
+		leastBallot, noMajority := n.keepers["k3"].Standing()
+		must.False(t, noMajority)
+		must.Positive(t, leastBallot)
+		openTenure(t, n.keepers["k3"], leastBallot+1, "a")
+		tenure := quorum.Tenure{Ballot: leastBallot + 1, Primary: "a"}
 		for name, k := range n.keepers {
-			must.Eq(t, held, k.View("s").Tenure, must.Sprint(name))
+			must.Eq(t, tenure, k.View("s").Tenure, must.Sprint(name))
 			must.True(t, k.View("s").Covers(time.Now()), must.Sprint(name))
-			must.True(t, k.Confirm("s", held, time.Now(), time.Now()), must.Sprint(name))
+			must.True(t, k.Confirm("s", tenure, time.Now(), time.Now()), must.Sprint(name))
 		}
-		// A node that nobody hears believes nothing once its leases have run out.
+		// A node that hears nobody confirms no answer once its leases have expired.
 		n.setSilent("k0", true)
 		time.Sleep(3 * time.Second)
 		must.True(t, n.keepers["k0"].Isolated(time.Now()))
-		must.False(t, n.keepers["k0"].Confirm("s", held, time.Now(), time.Now().Add(200*time.Millisecond)))
-		// It is heard again: the answer that came meanwhile is confirmed after the fact.
-		arrived := time.Now()
+		must.False(t, n.keepers["k0"].Confirm("s", tenure, time.Now(), time.Now().Add(200*time.Millisecond)))
+		// Once it is reachable again, an answer that came meanwhile is confirmed.
+		answeredAt := time.Now()
 		n.setSilent("k0", false)
-		must.True(t, n.keepers["k0"].Confirm("s", held, arrived, time.Now().Add(time.Second)))
-		// The tenure changes: an answer under the one before is not believed.
-		must.True(t, n.keepers["k1"].Prepare("s", least+2).Agreed)
-		must.True(t, n.keepers["k1"].AwaitClear("s", least+2, 2*time.Second).Clear)
-		must.False(t, n.keepers["k2"].Confirm("s", held, time.Now(), time.Now().Add(100*time.Millisecond)))
-		n.end()
+		must.True(t, n.keepers["k0"].Confirm("s", tenure, answeredAt, time.Now().Add(time.Second)))
+		// After the tenure is closed, an answer under it is not confirmed.
+		must.True(t, n.keepers["k1"].Prepare("s", leastBallot+2).Agreed)
+		must.True(t, n.keepers["k1"].AwaitClear("s", leastBallot+2, 2*time.Second).Clear)
+		must.False(t, n.keepers["k2"].Confirm("s", tenure, time.Now(), time.Now().Add(100*time.Millisecond)))
+		n.stop()
 	})
 }
 
-// TestVoterThatIsGoneIsReplaced: its seat goes to another node, and the tenure stays open.
-func TestVoterThatIsGoneIsReplaced(t *testing.T) {
+// TestLostVoterIsReplaced guards against a lost voter that keeps its entry, and against tenures
+// that close when it is replaced.
+func TestLostVoterIsReplaced(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		n := newNetwork(7)
 		time.Sleep(6 * time.Second)
 		table := n.keepers["k0"].table()
 		must.Len(t, quorum.MaxVoters, table.Seats)
-		opened(t, n.keepers["k0"], table.LeastBallot()+1, "a")
-		gone := table.Seats[0].Name
-		n.kill(gone)
+		openTenure(t, n.keepers["k0"], table.LeastBallot()+1, "a")
+		lostVoter := table.Seats[0].Name
+		n.kill(lostVoter)
 		time.Sleep(8 * time.Second)
 		for name, k := range n.keepers {
 			after := k.table()
 			must.Eq(t, table.Era+1, after.Era, must.Sprint(name))
 			must.Len(t, quorum.MaxVoters, after.Seats)
-			must.Nil(t, after.Seat(gone))
+			must.Nil(t, after.Seat(lostVoter))
 			must.True(t, k.View("s").Covers(time.Now()), must.Sprint(name))
 		}
-		n.end()
+		n.stop()
 	})
 }
 
-// TestAllVotersRestart: their era ends through the store, ballots rise, and no tenure is
-// open until one is opened again. While the store is down, nothing changes.
+// TestAllVotersRestart guards against voters that go on without their state after all of them
+// restarted: a new generation has to start through the store, with higher ballots and no open
+// tenure.
 func TestAllVotersRestart(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		n := newNetwork(5)
 		time.Sleep(6 * time.Second)
 		before := n.keepers["k0"].table()
-		opened(t, n.keepers["k0"], before.LeastBallot()+1, "a")
+		openTenure(t, n.keepers["k0"], before.LeastBallot()+1, "a")
 		for i := range 5 {
 			n.kill(fmt.Sprintf("k%d", i))
 		}
@@ -228,24 +230,24 @@
 		time.Sleep(100 * time.Millisecond)
 		n.store.SetDown(true)
 		time.Sleep(3 * time.Second)
-		_, voiceless := n.keepers["k0"].Standing()
-		must.True(t, voiceless)
+		_, noMajority := n.keepers["k0"].Standing()
+		must.True(t, noMajority)
 		n.store.SetDown(false)
 		time.Sleep(1500 * time.Millisecond)
 		for name, k := range n.keepers {
-			least, voiceless := k.Standing()
-			must.False(t, voiceless, must.Sprint(name))
-			must.Greater(t, before.LeastBallot(), least, must.Sprint(name))
+			leastBallot, noMajority := k.Standing()
+			must.False(t, noMajority, must.Sprint(name))
+			must.Greater(t, before.LeastBallot(), leastBallot, must.Sprint(name))
 			view := k.View("s")
 			must.True(t, view == nil || !view.Open, must.Sprint(name))
 		}
-		n.end()
+		n.stop()
 	})
 }
 
-// TestStrongNodesVote: of a zone's nodes the one with most capacity is made a voter, and an
-// inquiry asks it and the voters, whoever else it asks.
-func TestStrongNodesVote(t *testing.T) {
+// TestVotersHaveMostCapacity guards against voters other than a zone's node with most capacity, and
+// against inquiries that leave out these nodes or the voters.
+func TestVotersHaveMostCapacity(t *testing.T) {
 	var peers []Peer
 	for i := range 40 {
 		peers = append(peers, Peer{Name: fmt.Sprintf("n%02d", i), Zone: fmt.Sprintf("z%d", i%5), Capacity: 1})
@@ -254,11 +256,11 @@
 		peers[i].Capacity = 4
 	}
 	table := &quorum.Table{Era: 1, Seats: []quorum.Seat{{Name: "n01"}, {Name: "n39"}}}
-	chosen := asked(peers, table, inquiredPeers)
+	chosen := inquiryTargets(peers, table, inquiryPeers)
 	must.SliceContainsSubset(t, chosen, []string{"n01", "n30", "n31", "n32", "n33", "n34", "n39"})
-	must.Between(t, inquiredPeers, len(chosen), inquiredPeers+2)
+	must.Between(t, inquiryPeers, len(chosen), inquiryPeers+2)
 	k := New(Config{Name: "n99", Zone: "z0", Peers: func() []Peer { return peers }})
-	for _, seat := range k.seats(nil, peers) {
-		must.SliceContains(t, []string{"n30", "n31", "n32", "n33", "n34"}, seat.Name)
+	for _, entry := range k.selectVoters(nil, peers) {
+		must.SliceContains(t, []string{"n30", "n31", "n32", "n33", "n34"}, entry.Name)
 	}
 }
--- a/internal/proxy/tenure/leases.go
+++ b/internal/proxy/tenure/leases.go
@@ -6,7 +6,7 @@
 	"dewknot/internal/proxy/quorum"
 )
 
-// View returns what is known of a service's tenure, nil if nothing is.
+// View returns the view of a service's tenure, or nil if none is known.
 func (k *Keeper) View(service string) *quorum.View {
 	if found, ok := k.views.Load(service); ok {
 		return found.(*quorum.View)
@@ -14,31 +14,29 @@
 	return nil
 }
 
-// Confirm reports whether a tenure, under which an answer was asked for, was surely the
-// newest when the answer arrived. Where the leases had run out it waits for the voters'
-// word, but not past a deadline.
-func (k *Keeper) Confirm(service string, tenure quorum.Tenure, arrived, deadline time.Time) bool {
-	if view := k.View(service); view != nil && view.Tenure == tenure && view.Covers(arrived) {
-		// The usual case: nothing is waited for, no lock is taken.
+// Confirm reports whether the tenure under which a request was sent was certainly the newest when
+// its answer arrived. If the leases had expired, it waits for the voters until the deadline.
+func (k *Keeper) Confirm(service string, tenure quorum.Tenure, answeredAt, deadline time.Time) bool {
+	if view := k.View(service); view != nil && view.Tenure == tenure && view.Covers(answeredAt) {
+		// In the usual case there is no wait, and no lock is taken.
 		return true
 	}
 	covered := false
 	k.waitWhile(func() time.Duration {
 		view := k.View(service)
-		settled := view == nil || view.Tenure != tenure
-		covered = !settled && view.Covers(arrived)
-		left := time.Until(deadline)
-		if settled || covered || left <= 0 {
+		superseded := view == nil || view.Tenure != tenure
+		covered = !superseded && view.Covers(answeredAt)
+		remaining := time.Until(deadline)
+		if superseded || covered || remaining <= 0 {
 			return 0
 		}
 		k.RenewFor(service, time.Now())
-		return min(left, confirmInterval)
+		return min(remaining, confirmRetryInterval)
 	})
 	return covered
 }
 
-// AwaitFirst waits, but not past a deadline, until a service has had a tenure in this
-// process's life.
+// AwaitFirst waits until this process first learns a tenure of a service, or until the deadline.
 func (k *Keeper) AwaitFirst(service string, deadline time.Time) {
 	k.waitWhile(func() time.Duration {
 		if view := k.View(service); view != nil && view.Tenure.Ballot > 0 {
@@ -48,26 +46,26 @@
 	})
 }
 
-// waitWhile waits for grants as long as look, which is called before each wait, returns
-// a time to wait for the next one.
-func (k *Keeper) waitWhile(look func() time.Duration) {
+// waitWhile calls check and then waits for progress, for at most the duration that check returned.
+// It repeats this until that duration is not positive.
+func (k *Keeper) waitWhile(check func() time.Duration) {
 	for {
-		// Whoever waits is counted before the look, so that no grant after it is missed.
-		granted := k.awaiting(1)
-		pause := look()
+		// Register before the check, so that no progress after it is missed.
+		progress := k.addWaiters(1)
+		pause := check()
 		if pause > 0 {
-			waitFor(granted, pause)
+			waitFor(progress, pause)
 		}
-		k.awaiting(-1)
+		k.addWaiters(-1)
 		if pause <= 0 {
 			return
 		}
 	}
 }
 
-// waitFor waits until done is closed, but not longer than a limit.
-func waitFor(done <-chan struct{}, limit time.Duration) {
-	timer := time.NewTimer(limit)
+// waitFor waits until done is closed or a timeout ends.
+func waitFor(done <-chan struct{}, timeout time.Duration) {
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case <-done:
@@ -75,95 +73,98 @@
 	}
 }
 
-// confirmInterval is the pause until a renewal whose answers have not come is repeated.
-const confirmInterval = 60 * time.Millisecond
+// confirmRetryInterval is the pause before a renewal without answers is repeated.
+const confirmRetryInterval = 60 * time.Millisecond
 
-// awaiting counts those who wait for grants, and returns what is closed at the next one.
-func (k *Keeper) awaiting(count int) chan struct{} {
+// addWaiters changes the number of waiters, and returns the channel that is closed at the next
+// progress.
+func (k *Keeper) addWaiters(count int) chan struct{} {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.waiting += count
-	return k.granted
+	k.waiters += count
+	return k.progress
 }
 
-// isolatedSpan is how long a majority of voters has to be silent until a node counts as
-// isolated: its leases have run out by then, and a restart of voters is over.
-const isolatedSpan = quorum.LeaseSpan + 600*time.Millisecond
+// isolationTimeout is how long a majority of voters has to be silent before a node counts as
+// isolated. By then its leases have expired, and a restart of the voters would be over.
+const isolationTimeout = quorum.LeaseSpan + 600*time.Millisecond
 
-// Isolated reports whether this node has not heard of a majority of voters for long: it
-// cannot use any primary, and other nodes probably can.
+// Isolated reports whether this node has not heard from a majority of voters for isolationTimeout.
+// It cannot use any primary then, while other nodes probably can.
 func (k *Keeper) Isolated(now time.Time) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	table := k.member.Table()
-	return table != nil && k.member.Heard(now, isolatedSpan) < table.Majority()
+	return table != nil && k.member.Heard(now, isolationTimeout) < table.Majority()
 }
 
-// Standing returns the lowest ballot of the voters' era, and whether too few voters are
-// known to take part for a candidate to be heard.
-func (k *Keeper) Standing() (leastBallot uint64, voiceless bool) {
+// Standing returns the lowest ballot of the table's generation, and whether less than a majority of
+// voters is known to have complete records. Candidates get no majority then.
+func (k *Keeper) Standing() (leastBallot uint64, noMajority bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if table := k.member.Table(); table != nil {
 		leastBallot = table.LeastBallot()
 	}
-	return leastBallot, !k.votable()
+	return leastBallot, !k.hasVoterMajority()
 }
 
-// votable reports whether a majority of voters is known to take part; the lock is held.
-func (k *Keeper) votable() bool {
+// hasVoterMajority reports whether the records of a majority of voters are known to be complete.
+// k.mu must be held.
+func (k *Keeper) hasVoterMajority() bool {
 	table := k.member.Table()
 	return table != nil && k.member.Whole() >= table.Majority()
 }
 
-// Account is what a node knows of its leases for a service, for logs.
+// Account describes a node's leases for a service, for logs.
 type Account struct {
-	// Ballot is that of the last tenure known, Highest the highest that a voter has promised.
+	// Ballot is the ballot of the last known tenure, Highest the highest one that a voter promised.
 	Ballot  uint64 `json:"ballot"`
 	Highest uint64 `json:"highest"`
 	Open    bool   `json:"open"`
-	// Covering is how many voters' leases run, of Needed.
+	// Covering is the number of voters whose leases are valid, Needed how many have to be.
 	Covering int `json:"covering"`
 	Needed   int `json:"needed"`
-	// Voters is the size of the table, Known the voters that have told all records.
-	Voters int      `json:"voters"`
-	Known  []string `json:"known"`
-	// Trip is the longest smoothed time until a voter's answer, Misses the questions in a row
-	// without an answer in time of the voter with most of them.
-	Trip   time.Duration `json:"trip"`
-	Misses int           `json:"misses"`
+	// Voters is the size of the table. CompleteVoters names the voters whose records are complete.
+	Voters         int      `json:"voters"`
+	CompleteVoters []string `json:"known"`
+	// RTT is the longest smoothed round-trip time to a voter. MissedRequests is the largest number of
+	// consecutive requests that a voter did not answer in time.
+	RTT            time.Duration `json:"trip"`
+	MissedRequests int           `json:"misses"`
 }
 
-// Account returns what is known of this node's leases for a service at a time.
+// Account describes this node's leases for a service at a time.
 func (k *Keeper) Account(service string, at time.Time) Account {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	var a Account
+	var status Account
 	if table := k.member.Table(); table != nil {
-		a.Voters, a.Known = len(table.Seats), k.member.KnownVoters()
+		status.Voters, status.CompleteVoters = len(table.Seats), k.member.KnownVoters()
 	}
-	a.Trip, a.Misses = k.member.Delay()
+	status.RTT, status.MissedRequests = k.member.Delay()
 	if view := k.View(service); view != nil {
-		a.Ballot, a.Highest, a.Open = view.Tenure.Ballot, view.Highest, view.Open
-		a.Covering, a.Needed = view.Leases(at)
+		status.Ballot, status.Highest, status.Open = view.Tenure.Ballot, view.Highest, view.Open
+		status.Covering, status.Needed = view.Leases(at)
 	}
-	return a
+	return status
 }
 
-// Renew asks for leases as soon as voters may be asked again.
+// Renew requests leases as soon as the voters may be asked again.
 func (k *Keeper) Renew(now time.Time) {
 	k.mu.Lock()
-	k.wantedAt = now
-	out, _ := k.due(now)
+	k.leasesRequestedAt = now
+	out, _ := k.dueRequests(now)
 	k.mu.Unlock()
 	k.send(out)
 }
 
-// RenewFor is Renew for a request that needs leases for a service.
+// RenewFor requests leases for a request of a service. It asks all voters if the nearest ones
+// disagree for too long.
 func (k *Keeper) RenewFor(service string, now time.Time) {
-	if view := k.View(service); view != nil && view.Partial(now, partialSpan) {
+	if view := k.View(service); view != nil && view.Partial(now, partialTimeout) {
 		k.mu.Lock()
-		k.widelyAt = now
+		k.allVotersRequestedAt = now
 		k.mu.Unlock()
 	}
 	k.Renew(now)
--- a/internal/proxy/tenure/metrics.go
+++ b/internal/proxy/tenure/metrics.go
@@ -2,7 +2,7 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// Metrics are what the keeper tells of its questions to the voters, and of its own voter.
+// Metrics collects metrics of a keeper's requests to voters and of its own voter.
 type Metrics struct{ keeper *Keeper }
 
 // Metrics returns the keeper's metrics.
@@ -13,7 +13,7 @@
 }
 
 var (
-	tripDesc    = newDesc("voter_round_trip_seconds", "Smoothed time until the answer of the voter that answers last.")
+	rttDesc     = newDesc("voter_round_trip_seconds", "Smoothed time until the answer of the voter that answers last.")
 	missesDesc  = newDesc("voter_questions_missed", "Questions in a row without an answer in time, of the voter with most of them.")
 	backlogDesc = newDesc("voter_backlog_bytes", "Bytes of records on their way from this node's voter to members.")
 	waitingDesc = newDesc("voter_members_waiting", "Members to which this node's voter has still to send records.")
@@ -21,7 +21,7 @@
 
 // Describe implements prometheus.Collector.
 func (Metrics) Describe(out chan<- *prometheus.Desc) {
-	for _, desc := range []*prometheus.Desc{tripDesc, missesDesc, backlogDesc, waitingDesc} {
+	for _, desc := range []*prometheus.Desc{rttDesc, missesDesc, backlogDesc, waitingDesc} {
 		out <- desc
 	}
 }
@@ -29,13 +29,13 @@
 // Collect implements prometheus.Collector.
 func (m Metrics) Collect(out chan<- prometheus.Metric) {
 	m.keeper.mu.Lock()
-	trip, misses := m.keeper.member.Delay()
+	rtt, misses := m.keeper.member.Delay()
 	bytes, waiting := m.keeper.voter.Backlog()
 	m.keeper.mu.Unlock()
 	gauge := func(desc *prometheus.Desc, value float64) {
 		out <- prometheus.MustNewConstMetric(desc, prometheus.GaugeValue, value)
 	}
-	gauge(tripDesc, trip.Seconds())
+	gauge(rttDesc, rtt.Seconds())
 	gauge(missesDesc, float64(misses))
 	gauge(backlogDesc, float64(bytes))
 	gauge(waitingDesc, float64(waiting))
--- a/internal/proxy/tenure/round.go
+++ b/internal/proxy/tenure/round.go
@@ -7,52 +7,51 @@
 	"dewknot/internal/proxy/quorum"
 )
 
-// round is a question to all voters and the answers that have come.
+// round is a request to all voters with the answers received so far.
 type round struct {
-	service string
-	ballot  uint64
-	wanted  quorum.Kind
-	// clear counts only answers of voters that have no lease left.
-	clear   bool
-	answers map[string]quorum.Message
-	denied  map[string]quorum.Message
-	// news is signaled at each answer.
-	news chan struct{}
+	service  string
+	ballot   uint64
+	expected quorum.Kind
+	// requireClear ignores promises of voters whose leases have not ended yet.
+	requireClear bool
+	answers      map[string]quorum.Message
+	denied       map[string]quorum.Message
+	// updated is signaled at each new answer.
+	updated chan struct{}
 }
 
-// Result is the end of a round.
+// Result is the result of a round.
 type Result struct {
-	// Agreed is set if a majority of voters has agreed.
+	// Agreed is set if a majority of voters agreed.
 	Agreed bool
-	// Highest is the highest ballot that stands against it.
+	// Highest is the highest ballot with which a voter denied the request.
 	Highest uint64
 	// Records are those of the voters that agreed.
 	Records []quorum.Record
-	// LooseFor is how long an order for the server Loose, which was not answered, may still
-	// be carried out.
+	// Loose is the server of an unconfirmed order, which may still be carried out during LooseFor.
 	Loose    string
 	LooseFor time.Duration
-	// Clear is set if a majority has no lease left of the tenure before.
+	// Clear is set if no leases of the previous tenure are left at a majority of voters.
 	Clear bool
 }
 
-// answered gives a message to the round that it answers; the lock is held.
-func (k *Keeper) answered(m *quorum.Message) {
+// handleRoundAnswer adds an answer to its round. k.mu must be held.
+func (k *Keeper) handleRoundAnswer(m *quorum.Message) {
 	for sequence, r := range k.rounds {
 		if m.Service != r.service {
 			continue
 		}
-		cleared := r.clear && m.Kind == quorum.Cleared && m.Ballot == r.ballot
+		cleared := r.requireClear && m.Kind == quorum.Cleared && m.Ballot == r.ballot
 		if m.Sequence != sequence && !cleared {
 			continue
 		}
-		r.take(m, cleared)
+		r.add(m, cleared)
 	}
 }
 
-func (r *round) take(m *quorum.Message, cleared bool) {
+func (r *round) add(m *quorum.Message, cleared bool) {
 	switch {
-	case cleared, m.Kind == r.wanted && (!r.clear || m.Clear):
+	case cleared, m.Kind == r.expected && (!r.requireClear || m.Clear):
 		delete(r.denied, m.From)
 		r.answers[m.From] = *m
 	case m.Kind == quorum.Denied:
@@ -61,66 +60,66 @@
 		return
 	}
 	select {
-	case r.news <- struct{}{}:
+	case r.updated <- struct{}{}:
 	default:
 	}
 }
 
-// repeatInterval is the pause until a question is repeated to voters that have not
-// answered: datagrams get lost.
-const repeatInterval = 80 * time.Millisecond
+// retryInterval is the pause before a request is repeated to voters that have not answered, because
+// messages may be lost.
+const retryInterval = 80 * time.Millisecond
 
 // Prepare asks the voters to promise a ballot for a service, which closes its tenure.
 func (k *Keeper) Prepare(service string, ballot uint64) Result {
-	return k.ask(quorum.Message{Kind: quorum.Prepare, Service: service, Ballot: ballot}, quorum.Promised, false, quorum.CountSpan)
+	return k.runRound(quorum.Message{Kind: quorum.Prepare, Service: service, Ballot: ballot}, quorum.Promised, false, quorum.CountSpan)
 }
 
-// AwaitClear waits, up to a limit, until a majority of voters has no lease left of the
-// tenure that a ballot has closed.
-func (k *Keeper) AwaitClear(service string, ballot uint64, limit time.Duration) Result {
-	return k.ask(quorum.Message{Kind: quorum.Prepare, Service: service, Ballot: ballot}, quorum.Promised, true, limit)
+// AwaitClear waits until a majority of voters has no leases left of the tenure that a ballot
+// closed, or until the timeout.
+func (k *Keeper) AwaitClear(service string, ballot uint64, timeout time.Duration) Result {
+	return k.runRound(quorum.Message{Kind: quorum.Prepare, Service: service, Ballot: ballot}, quorum.Promised, true, timeout)
 }
 
-// Choose asks the voters to hold a ballot's target. ordering tells that an order to
-// promote it follows.
+// Choose asks the voters to record a ballot's target. ordering means that an order to promote it
+// follows.
 func (k *Keeper) Choose(service string, tenure quorum.Tenure, ordering bool) Result {
-	question := quorum.Message{Kind: quorum.Choose, Service: service, Ballot: tenure.Ballot, Primary: tenure.Primary, Ordering: ordering}
-	return k.ask(question, quorum.Chosen, false, quorum.CountSpan)
+	request := quorum.Message{Kind: quorum.Choose, Service: service, Ballot: tenure.Ballot, Primary: tenure.Primary, Ordering: ordering}
+	return k.runRound(request, quorum.Chosen, false, quorum.CountSpan)
 }
 
-// Open asks the voters to give leases for a tenure, whose primary leads in a term. loose
-// tells that an order for it was not answered.
-func (k *Keeper) Open(service string, tenure quorum.Tenure, term uint64, loose bool) Result {
-	question := quorum.Message{
-		Kind: quorum.Open, Service: service, Ballot: tenure.Ballot, Primary: tenure.Primary, Term: term, Loose: loose,
+// Open asks the voters to grant leases for a tenure with the primary's term. unconfirmed means that
+// an order for it was not answered.
+func (k *Keeper) Open(service string, tenure quorum.Tenure, term uint64, unconfirmed bool) Result {
+	request := quorum.Message{
+		Kind: quorum.Open, Service: service, Ballot: tenure.Ballot, Primary: tenure.Primary, Term: term, Loose: unconfirmed,
 	}
-	return k.ask(question, quorum.Opened, false, quorum.CountSpan)
+	return k.runRound(request, quorum.Opened, false, quorum.CountSpan)
 }
 
-// ask asks all voters and waits until a majority has agreed, or can no longer.
-func (k *Keeper) ask(question quorum.Message, wanted quorum.Kind, clear bool, limit time.Duration) Result {
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+// runRound asks all voters, and waits until a majority has agreed or no longer can.
+func (k *Keeper) runRound(request quorum.Message, expected quorum.Kind, requireClear bool, timeout time.Duration) Result {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	r := &round{
-		service: question.Service, ballot: question.Ballot, wanted: wanted, clear: clear,
-		answers: map[string]quorum.Message{}, denied: map[string]quorum.Message{}, news: make(chan struct{}, 1),
+		service: request.Service, ballot: request.Ballot, expected: expected, requireClear: requireClear,
+		answers: map[string]quorum.Message{}, denied: map[string]quorum.Message{}, updated: make(chan struct{}, 1),
 	}
-	table := k.begin(r, &question)
+	table := k.beginRound(r, &request)
 	if table == nil {
 		return Result{}
 	}
-	defer k.end(question.Sequence)
-	repeat := time.NewTicker(repeatInterval)
-	defer repeat.Stop()
-	k.send(k.unanswered(r, table, question))
+	defer k.endRound(request.Sequence)
+	retry := time.NewTicker(retryInterval)
+	defer retry.Stop()
+	k.send(k.unanswered(r, table, request))
 	for {
-		if result, over := k.result(r, table); over {
+		if result, done := k.result(r, table); done {
 			return result
 		}
 		select {
-		case <-r.news:
-		case <-repeat.C:
-			k.send(k.unanswered(r, table, question))
+		case <-r.updated:
+		case <-retry.C:
+			k.send(k.unanswered(r, table, request))
 		case <-ctx.Done():
 			result, _ := k.result(r, table)
 			return result
@@ -128,8 +127,8 @@
 	}
 }
 
-// begin registers a round; nil if no voters are known.
-func (k *Keeper) begin(r *round, question *quorum.Message) *quorum.Table {
+// beginRound registers a round. It returns nil if no voters are known.
+func (k *Keeper) beginRound(r *round, request *quorum.Message) *quorum.Table {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	table := k.member.Table()
@@ -137,49 +136,49 @@
 		return nil
 	}
 	k.sequence++
-	question.From, question.Life, question.Era, question.Sequence = k.cfg.Name, k.cfg.Life, table.Era, k.sequence
+	request.From, request.Life, request.Era, request.Sequence = k.cfg.Name, k.cfg.Life, table.Era, k.sequence
 	k.rounds[k.sequence] = r
 	return table
 }
 
-func (k *Keeper) end(sequence uint64) {
+func (k *Keeper) endRound(sequence uint64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	delete(k.rounds, sequence)
 }
 
-// unanswered addresses a question to the voters that have not agreed.
-func (k *Keeper) unanswered(r *round, table *quorum.Table, question quorum.Message) []quorum.Envelope {
+// unanswered returns the request for each voter that has not agreed.
+func (k *Keeper) unanswered(r *round, table *quorum.Table, request quorum.Message) []quorum.Envelope {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	var out []quorum.Envelope
-	for _, seat := range table.Seats {
-		if _, agreed := r.answers[seat.Name]; !agreed {
-			out = append(out, quorum.Envelope{To: seat.Address, Message: question})
+	for _, entry := range table.Seats {
+		if _, agreed := r.answers[entry.Name]; !agreed {
+			out = append(out, quorum.Envelope{To: entry.Address, Message: request})
 		}
 	}
 	return out
 }
 
-// result returns how a round stands and whether it is over.
+// result returns the result of a round so far, and whether the round is over.
 func (k *Keeper) result(r *round, table *quorum.Table) (Result, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	result := Result{Agreed: len(r.answers) >= table.Majority()}
-	clear := 0
+	clearCount := 0
 	for _, m := range r.answers {
 		result.Records = append(result.Records, m.Records...)
 		if m.LooseFor > result.LooseFor && len(m.Records) > 0 {
 			result.Loose, result.LooseFor = m.Records[0].Loose, m.LooseFor
 		}
 		if m.Clear || m.Kind == quorum.Cleared {
-			clear++
+			clearCount++
 		}
 	}
-	result.Clear = clear >= table.Majority()
+	result.Clear = clearCount >= table.Majority()
 	for _, m := range r.denied {
 		result.Highest = max(result.Highest, m.Ballot)
 	}
-	refused := len(r.denied) > len(table.Seats)-table.Majority()
-	return result, result.Agreed || refused
+	rejected := len(r.denied) > len(table.Seats)-table.Majority()
+	return result, result.Agreed || rejected
 }
--- a/internal/proxy/tenure/slowlink_test.go
+++ b/internal/proxy/tenure/slowlink_test.go
@@ -13,24 +13,24 @@
 	"dewknot/internal/proxy/quorum"
 )
 
-// links carry a number of bytes a second out of each node and into it, through queues that
-// drop what they have no room for.
+// links model the links of nodes. Each direction has a rate in bytes per second and a queue that
+// drops messages when it is full.
 type links struct {
-	rate  int
-	queue int
-	busy  map[string]time.Time
-	// passed are the bytes that each queue has taken, dropped the messages that it has not.
-	passed  map[string]int
-	dropped int
+	rate      int
+	queue     int
+	busyUntil map[string]time.Time
+	// sentBytes are the bytes that each queue accepted, dropped the number of messages dropped.
+	sentBytes map[string]int
+	dropped   int
 }
 
-// headerBytes are those of a datagram's way besides its content.
+// headerBytes is the size of a datagram's headers.
 const headerBytes = 28
 
-// pass returns when a message is through a node's link in one direction, and whether it is
-// not dropped.
-func (l *links) pass(direction string, from time.Time, size int) (time.Time, bool) {
-	free := l.busy[direction]
+// transmit returns when a message has passed one direction of a node's link, and false if it was
+// dropped.
+func (l *links) transmit(direction string, from time.Time, size int) (time.Time, bool) {
+	free := l.busyUntil[direction]
 	if free.Before(from) {
 		free = from
 	}
@@ -38,37 +38,37 @@
 		l.dropped++
 		return from, false
 	}
-	l.passed[direction] += size
-	l.busy[direction] = free.Add(time.Duration(size) * time.Second / time.Duration(l.rate))
-	return l.busy[direction], true
+	l.sentBytes[direction] += size
+	l.busyUntil[direction] = free.Add(time.Duration(size) * time.Second / time.Duration(l.rate))
+	return l.busyUntil[direction], true
 }
 
-// carry returns how long a message takes from one node to another, and whether it arrives.
+// carry returns how long a message takes from one node to another, and false if it was dropped.
 func (l *links) carry(from, to string, m *quorum.Message) (time.Duration, bool) {
 	content, err := codec.Append(nil, m)
 	if err != nil {
 		panic(err)
 	}
 	now, size := time.Now(), len(content)+headerBytes
-	sent, ok := l.pass("out of "+from, now, size)
+	sent, ok := l.transmit("out of "+from, now, size)
 	if !ok {
 		return 0, false
 	}
-	arrived, ok := l.pass("into "+to, sent, size)
+	arrived, ok := l.transmit("into "+to, sent, size)
 	return arrived.Sub(now), ok
 }
 
-// busiest returns the most bytes that one direction of a link has carried.
+// busiest returns the largest number of bytes that one direction of a link carried.
 func (l *links) busiest() int {
 	most := 0
-	for _, bytes := range l.passed {
+	for _, bytes := range l.sentBytes {
 		most = max(most, bytes)
 	}
 	return most
 }
 
-// openAll opens a tenure of each service, each through another keeper and all at once, as
-// the holders of their leases do: a round that is not agreed is followed by the next ballot.
+// openAll opens a tenure of each service at once, each through another keeper. A round without
+// agreement is followed by one with the next ballot.
 func (n *network) openAll(services int, until time.Time) {
 	for i := range services {
 		k := n.keepers[fmt.Sprintf("k%d", 7+i)]
@@ -88,9 +88,9 @@
 	}
 }
 
-// want asks for leases on all nodes, as their requests do, and counts the looks at which
-// all tenures were covered.
-func (n *network) want(services int, looks, covered *atomic.Int64, until time.Time) {
+// renewUncovered checks all nodes until a time and requests leases where a tenure is not covered,
+// as requests would. It counts the checks, and those with all tenures covered.
+func (n *network) renewUncovered(services int, checks, covered *atomic.Int64, until time.Time) {
 	for _, k := range n.keepers {
 		go func() {
 			for time.Now().Before(until) {
@@ -99,7 +99,7 @@
 					view := k.View(fmt.Sprintf("service-%d", i))
 					all = all && view != nil && view.Covers(time.Now())
 				}
-				looks.Add(1)
+				checks.Add(1)
 				if all {
 					covered.Add(1)
 				} else {
@@ -111,40 +111,40 @@
 	}
 }
 
-// TestLargeFleetOnSlowLinks: a hundred nodes on links of 2 Mbit/s open their tenures soon,
-// keep their leases, and use a small part of the links for that.
+// TestLargeFleetOnSlowLinks guards against a large fleet on links of 2 Mbit/s that opens its
+// tenures late, loses leases, or uses much of the bandwidth for them.
 func TestLargeFleetOnSlowLinks(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		const (
-			nodes    = 102
-			services = 10
-			rate     = 250_000
-			calm     = 10 * time.Second
+			nodes      = 102
+			services   = 10
+			rate       = 250_000
+			steadyTime = 10 * time.Second
 		)
 		n := newNetwork(0)
-		n.links = &links{rate: rate, queue: 64 << 10, busy: map[string]time.Time{}, passed: map[string]int{}}
+		n.links = &links{rate: rate, queue: 64 << 10, busyUntil: map[string]time.Time{}, sentBytes: map[string]int{}}
 		for i := range nodes {
 			n.start(fmt.Sprintf("k%d", i))
 		}
 		time.Sleep(4 * time.Second)
 		must.NotNil(t, n.keepers["k0"].table())
-		var looks, covered atomic.Int64
+		var checks, covered atomic.Int64
 		n.openAll(services, time.Now().Add(3*time.Second))
-		n.want(services, &looks, &covered, time.Now().Add(3*time.Second))
+		n.renewUncovered(services, &checks, &covered, time.Now().Add(3*time.Second))
 		time.Sleep(3 * time.Second)
-		looks.Store(0)
+		checks.Store(0)
 		covered.Store(0)
 		n.mu.Lock()
-		clear(n.links.passed)
+		clear(n.links.sentBytes)
 		n.mu.Unlock()
-		n.want(services, &looks, &covered, time.Now().Add(calm))
-		time.Sleep(calm)
+		n.renewUncovered(services, &checks, &covered, time.Now().Add(steadyTime))
+		time.Sleep(steadyTime)
 		n.mu.Lock()
-		busiest := float64(n.links.busiest()) / calm.Seconds()
+		busiest := float64(n.links.busiest()) / steadyTime.Seconds()
 		n.mu.Unlock()
-		t.Logf("covered %d of %d looks, busiest link %.0f bytes/s, %d messages dropped", covered.Load(), looks.Load(), busiest, n.links.dropped)
-		must.Eq(t, looks.Load(), covered.Load())
+		t.Logf("covered in %d of %d checks, busiest link %.0f bytes/s, %d messages dropped", covered.Load(), checks.Load(), busiest, n.links.dropped)
+		must.Eq(t, checks.Load(), covered.Load())
 		must.Less(t, 0.2*rate, busiest)
-		n.end()
+		n.stop()
 	})
 }
--- a/internal/proxy/tenure/table.go
+++ b/internal/proxy/tenure/table.go
@@ -16,49 +16,50 @@
 	"dewknot/internal/proxy/quorum"
 )
 
-// Times of the table.
+// Timing and sizes of table maintenance.
 const (
-	// tableName is the object's name.
+	// tableName is the name of the table's object in the store.
 	tableName = "voters"
-	// reviewInterval is the pause between looks at the voters.
+	// reviewInterval is the pause between checks of the table.
 	reviewInterval = 200 * time.Millisecond
-	// lossInterval is the same while this node's voter has no memory or is sealed: an era may
-	// have to end, and callers wait for it.
-	lossInterval = 15 * time.Millisecond
-	// silentSpan is how long a voter may be silent before another node takes its seat:
-	// longer than a restart or a short cut.
-	silentSpan = 4 * time.Second
-	// deputySpan is how long a voter may be silent before another one looks after the
-	// table in its place.
-	deputySpan = 1500 * time.Millisecond
-	// firstAnswerSpan is the same for voters that have not answered since the table was
-	// taken.
-	firstAnswerSpan = 600 * time.Millisecond
-	// growInterval is the pause between looks whether there are nodes for more seats.
+	// lossReviewInterval is the same while this node's voter recovers its state or is sealed.
+	// Callers may be waiting for the next generation.
+	lossReviewInterval = 15 * time.Millisecond
+	// silenceTimeout is how long a voter may be silent before another node replaces it. It is
+	// longer than a restart or a short network failure.
+	silenceTimeout = 4 * time.Second
+	// deputyTimeout is how long a voter may be silent before the next one maintains the table
+	// instead.
+	deputyTimeout = 1500 * time.Millisecond
+	// firstAnswerTimeout is the same for voters that have not answered since the table was
+	// installed.
+	firstAnswerTimeout = 600 * time.Millisecond
+	// growInterval is the pause between checks for nodes that would be more or better voters.
 	growInterval = 10 * time.Second
-	// sealLimit bounds the end of an era. sealInterval is the pause between questions, which
-	// doubles: what is late for want of room on a link is not hastened by more of it.
-	sealLimit    = time.Second
-	sealInterval = 30 * time.Millisecond
-	// answersKept is how many answers to the end of an era may wait: some pages of each voter.
-	answersKept = 128
-	// firstEraPause is the pause after an era that could not be ended or begun, which
-	// doubles up to longestEraPause: each attempt seals voters and asks many nodes.
-	firstEraPause   = 25 * time.Millisecond
-	longestEraPause = 400 * time.Millisecond
-	// toldDirectly is how many nodes at most are told of a new table by the one that has
-	// written it; if there are more, each voter tells its share of them. A table takes
-	// some 300 bytes.
-	toldDirectly = 48
+	// sealTimeout bounds an attempt to seal a generation. sealRetryInterval is the first pause
+	// between requests; it doubles, because more requests would delay the answers on a slow link
+	// further.
+	sealTimeout       = time.Second
+	sealRetryInterval = 30 * time.Millisecond
+	// maxQueuedAnswers is how many answers of sealed voters may be queued: some pages of each
+	// voter.
+	maxQueuedAnswers = 128
+	// minChangeBackoff is the pause after a failed change of generation. It doubles up to
+	// maxChangeBackoff, because each attempt seals voters and asks many nodes.
+	minChangeBackoff = 25 * time.Millisecond
+	maxChangeBackoff = 400 * time.Millisecond
+	// maxDirectAnnouncements is the largest number of other nodes that the writer of a new table
+	// tells itself. Beyond it, each voter announces the table to a share of them.
+	maxDirectAnnouncements = 48
 )
 
-// keepTable learns the table, makes the first one, and looks after it.
+// keepTable loads the table, creates the first one and maintains it until ctx is done.
 func (k *Keeper) keepTable(ctx context.Context) {
 	k.fetch(ctx)
-	var grown time.Time
-	var pause time.Duration
+	var lastGrowthCheck time.Time
+	var backoff time.Duration
 	for ctx.Err() == nil {
-		timer := time.NewTimer(max(pause, k.reviewPause()))
+		timer := time.NewTimer(max(backoff, k.reviewPause()))
 		select {
 		case <-ctx.Done():
 			timer.Stop()
@@ -67,30 +68,30 @@
 		}
 		switch now := time.Now(); {
 		case k.table() == nil:
-			k.seek(ctx, now)
-		case k.inCharge(now):
-			need := k.lacking(now, &grown)
-			if need == nothing {
+			k.findTable(ctx, now)
+		case k.maintainsTable(now):
+			reason := k.neededChange(now, &lastGrowthCheck)
+			if reason == noChange {
 				continue
 			}
-			era := k.table().Era
-			k.change(ctx, need)
-			if k.table().Era > era {
-				pause = 0
+			generation := k.table().Era
+			k.changeGeneration(ctx, reason)
+			if k.table().Era > generation {
+				backoff = 0
 			} else {
-				pause = min(max(firstEraPause, 2*pause), longestEraPause)
+				backoff = min(max(minChangeBackoff, 2*backoff), maxChangeBackoff)
 			}
 		}
 	}
 }
 
-// reviewPause is the pause until the next look at the table: short while an era may
-// have to end because voters have lost their memory.
+// reviewPause returns the pause until the next check of the table. It is short while voters that
+// lost their state may require a new generation.
 func (k *Keeper) reviewPause() time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.voter.Recovering() || k.voter.Sealed() {
-		return lossInterval
+		return lossReviewInterval
 	}
 	return reviewInterval
 }
@@ -101,7 +102,8 @@
 	return k.voter.Table()
 }
 
-// fetchSoon reads the table from the store, unless that is under way; the lock is held.
+// fetchSoon reads the table from the store in the background, unless a read is in progress. k.mu
+// must be held.
 func (k *Keeper) fetchSoon() {
 	if k.fetching {
 		return
@@ -120,20 +122,20 @@
 	}()
 }
 
-// fetch reads the table from the store. It reports whether the store answered.
+// fetch reads the table from the store and installs it. It reports whether the store answered.
 func (k *Keeper) fetch(ctx context.Context) bool {
-	limited, cancel := context.WithTimeout(ctx, storeLimit)
+	timeoutCtx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	object, err := k.cfg.Store.Get(limited, k.cfg.Kind, tableName)
+	object, err := k.cfg.Store.Get(timeoutCtx, k.cfg.Kind, tableName)
 	if err != nil {
 		return objectstore.OutcomeOf(err) == objectstore.NotFound
 	}
-	k.take(object)
+	k.installStored(object)
 	return true
 }
 
-// take takes the table as the store holds it.
-func (k *Keeper) take(object objectstore.Object) {
+// installStored installs the table from its object in the store.
+func (k *Keeper) installStored(object objectstore.Object) {
 	table := &quorum.Table{}
 	if err := json.Unmarshal(object.Content, table); err != nil || len(table.Seats) == 0 {
 		k.cfg.Log.Write(eventlog.VotersRefused, zap.Stringer("revision", object.Revision), zap.Error(err))
@@ -145,20 +147,20 @@
 	k.install(time.Now(), table)
 }
 
-// write writes a table and tells it to the other nodes. Era 1 is created.
+// write writes a table to the store and announces it to the other nodes. Revision 0 creates it.
 func (k *Keeper) write(ctx context.Context, table *quorum.Table, revision era.Revision) {
 	content, err := json.Marshal(table)
 	if err != nil {
 		k.cfg.Log.Write(eventlog.VotersRefused, zap.Uint64("era", table.Era), zap.Error(err))
 		return
 	}
-	limited, cancel := context.WithTimeout(ctx, storeLimit)
+	timeoutCtx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	var object objectstore.Object
 	if revision == 0 {
-		object, err = k.cfg.Store.Create(limited, k.cfg.Kind, tableName, content)
+		object, err = k.cfg.Store.Create(timeoutCtx, k.cfg.Kind, tableName, content)
 	} else {
-		object, err = k.cfg.Store.Replace(limited, k.cfg.Kind, tableName, revision, content)
+		object, err = k.cfg.Store.Replace(timeoutCtx, k.cfg.Kind, tableName, revision, content)
 	}
 	if err != nil {
 		k.cfg.Log.Write(eventlog.VotersRefused, zap.Uint64("era", table.Era), zap.Error(err))
@@ -175,10 +177,10 @@
 	k.announce(table, true)
 }
 
-// announce tells other nodes of a table that has just been taken: voters first and whole, since
-// they need its records. In a large fleet the one that has written it tells the other voters,
-// and each voter a share of the rest. Whoever is missed learns of it with its next question to a
-// voter.
+// announce announces a table that was just installed. Its writer sends it to the voters first,
+// since they need its records. In a large fleet each voter then sends it to a share of the other
+// nodes; in a small one the writer does. A node that is missed learns the table with its next
+// request to a voter.
 func (k *Keeper) announce(table *quorum.Table, written bool) {
 	var voters, others []Peer
 	for _, peer := range k.cfg.Peers() {
@@ -189,116 +191,117 @@
 		}
 	}
 	if written {
-		k.tellTable(voters, table)
+		k.sendTable(voters, table)
 	}
-	if len(others) > toldDirectly {
-		seat := slices.IndexFunc(table.Seats, func(seat quorum.Seat) bool { return seat.Name == k.cfg.Name })
-		others = shareOf(others, seat, len(table.Seats))
+	if len(others) > maxDirectAnnouncements {
+		voterIndex := slices.IndexFunc(table.Seats, func(entry quorum.Seat) bool { return entry.Name == k.cfg.Name })
+		others = shareOf(others, voterIndex, len(table.Seats))
 	} else if !written {
 		return
 	}
-	k.tellTable(others, table)
+	k.sendTable(others, table)
 }
 
-// shareOf returns the peers that are a voter's to tell; none if it is no voter.
-func shareOf(peers []Peer, seat, seats int) []Peer {
+// shareOf returns the peers to which a voter announces the table; none if its index is negative.
+func shareOf(peers []Peer, voterIndex, voters int) []Peer {
 	slices.SortFunc(peers, func(a, b Peer) int { return cmp.Compare(a.Name, b.Name) })
 	var share []Peer
 	for i, peer := range peers {
-		if i%seats == seat {
+		if i%voters == voterIndex {
 			share = append(share, peer)
 		}
 	}
 	return share
 }
 
-func (k *Keeper) tellTable(peers []Peer, table *quorum.Table) {
+func (k *Keeper) sendTable(peers []Peer, table *quorum.Table) {
 	for _, peer := range peers {
 		m := quorum.Message{Kind: quorum.Announce, From: k.cfg.Name, Life: k.cfg.Life, Era: table.Era, Table: table.Told(peer.Name)}
 		k.cfg.Sender.SendMessage(peer.Address, &m)
 	}
 }
 
-// inCharge reports whether this node looks after the table: it is the first voter that
-// is not silent.
-func (k *Keeper) inCharge(now time.Time) bool {
+// maintainsTable reports whether this node maintains the table: it is the first voter that is not
+// silent.
+func (k *Keeper) maintainsTable(now time.Time) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	table := k.voter.Table()
 	if table.Seat(k.cfg.Name) == nil || k.member.Table() != table {
 		return false
 	}
-	silent := k.member.Silent(now, deputySpan, firstAnswerSpan)
-	for _, seat := range table.Seats {
-		if !slices.Contains(silent, seat.Name) {
-			return seat.Name == k.cfg.Name
+	silent := k.member.Silent(now, deputyTimeout, firstAnswerTimeout)
+	for _, entry := range table.Seats {
+		if !slices.Contains(silent, entry.Name) {
+			return entry.Name == k.cfg.Name
 		}
 	}
 	return false
 }
 
-// need tells why a table needs a new era.
-type need uint8
+// changeReason says why a table needs a new generation.
+type changeReason uint8
 
 const (
-	nothing need = iota
-	// better: voters are silent or too few, or one zone or region has a majority of them. The
-	// present ones go on meanwhile.
-	better
-	// broken: the present voters decide nothing any more.
-	broken
+	noChange changeReason = iota
+	// improvement means that voters are silent or too few, or that one zone or region has a
+	// majority of them. The current voters go on meanwhile.
+	improvement
+	// inoperable means that the current voters can't decide anything any more.
+	inoperable
 )
 
-// lacking returns whether the table needs a new era: voters are gone or have lost their
-// memory, there are nodes for more or better seats, or the store has come back from an older
-// copy and may hold an earlier table, whose voters nodes that start would ask.
-func (k *Keeper) lacking(now time.Time, grown *time.Time) need {
+// neededChange returns whether the table needs a new generation. It does if voters failed or lost
+// their state, if nodes would be more or better voters, or if the store was restored from an older
+// copy. The copy may hold an earlier table, whose voters starting nodes would ask.
+func (k *Keeper) neededChange(now time.Time, lastGrowthCheck *time.Time) changeReason {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	table := k.voter.Table()
 	if table.StoreEra < k.cfg.StoreEra() {
-		return broken
+		return inoperable
 	}
-	lost := k.member.Lost(now, deputySpan)
+	lostVoters := k.member.Lost(now, deputyTimeout)
 	if k.voter.Recovering() {
 		if k.voter.Age(now) < quorum.LostSpan {
-			return nothing
+			return noChange
 		}
-		lost++
+		lostVoters++
 	}
-	if len(table.Seats)-lost < table.Majority() || k.voter.Sealed() {
-		return broken
+	if len(table.Seats)-lostVoters < table.Majority() || k.voter.Sealed() {
+		return inoperable
 	}
 	if !k.voter.Normal() {
-		return nothing
+		return noChange
 	}
-	silent := len(k.member.Silent(now, silentSpan, silentSpan)) > 0
-	if now.Sub(*grown) < growInterval && !silent {
-		return nothing
+	silent := len(k.member.Silent(now, silenceTimeout, silenceTimeout)) > 0
+	if now.Sub(*lastGrowthCheck) < growInterval && !silent {
+		return noChange
 	}
-	first := grown.IsZero()
-	*grown = now
+	first := lastGrowthCheck.IsZero()
+	*lastGrowthCheck = now
 	nodes := len(k.cfg.Peers()) + 1
-	if (silent && nodes > len(table.Seats)) || (!first && (len(table.Seats) < seatsFor(nodes) || k.crowded(table.Seats))) {
-		return better
+	if (silent && nodes > len(table.Seats)) || (!first && (len(table.Seats) < voterCountFor(nodes) || k.unbalanced(table.Seats))) {
+		return improvement
 	}
-	return nothing
+	return noChange
 }
 
-// change moves the table to its next era. What only gets better waits until there are nodes for
-// it and the store answers: between the end of an era and the next table no leases are given.
-func (k *Keeper) change(ctx context.Context, need need) {
+// changeGeneration replaces the table by its next generation. An improvement waits until there are
+// nodes for it and the store answers, because no leases are granted between sealing and the next
+// table.
+func (k *Keeper) changeGeneration(ctx context.Context, reason changeReason) {
 	k.mu.Lock()
-	known, before := k.tableRevision > 0, k.voter.Table()
+	revisionKnown, before := k.tableRevision > 0, k.voter.Table()
 	k.mu.Unlock()
-	var living []Peer
-	if need == better {
-		living = k.inquire(ctx, inquiredPeers, time.Now())
-		if sameVoters(before.Seats, k.seats(before, living)) {
+	var alive []Peer
+	if reason == improvement {
+		alive = k.inquire(ctx, inquiryPeers, time.Now())
+		if sameVoters(before.Seats, k.selectVoters(before, alive)) {
 			return
 		}
 	}
-	if (!known || need == better) && !k.fetch(ctx) {
+	if (!revisionKnown || reason == improvement) && !k.fetch(ctx) {
 		return
 	}
 	k.mu.Lock()
@@ -308,55 +311,55 @@
 		return
 	}
 	var inquiring sync.WaitGroup
-	if need == broken {
-		inquiring.Go(func() { living = k.inquire(ctx, inquiredPeers, time.Now()) })
+	if reason == inoperable {
+		inquiring.Go(func() { alive = k.inquire(ctx, inquiryPeers, time.Now()) })
 	}
-	records, ended := k.seal(ctx, table)
+	records, sealed := k.seal(ctx, table)
 	inquiring.Wait()
-	if !ended {
+	if !sealed {
 		return
 	}
 	storeEra := k.cfg.StoreEra()
 	k.write(ctx, &quorum.Table{
-		Era: table.NextEra(storeEra), StoreEra: storeEra, Seats: k.seats(table, living), Records: records, Count: len(records),
+		Era: table.NextEra(storeEra), StoreEra: storeEra, Seats: k.selectVoters(table, alive), Records: records, Count: len(records),
 	}, revision)
 }
 
-// sameVoters reports whether two tables have the same voters.
+// sameVoters reports whether two lists name the same voters.
 func sameVoters(a, b []quorum.Seat) bool {
 	if len(a) != len(b) {
 		return false
 	}
 	for i := range a {
-		if !slices.ContainsFunc(b, func(seat quorum.Seat) bool { return seat.Name == a[i].Name }) {
+		if !slices.ContainsFunc(b, func(entry quorum.Seat) bool { return entry.Name == a[i].Name }) {
 			return false
 		}
 	}
 	return true
 }
 
-// seal ends an era. It reports false if too few voters answered; what they have told is kept
-// for the next attempt.
+// seal ends a generation and returns its records. It returns false if too few voters answered;
+// their records are kept for the next attempt.
 func (k *Keeper) seal(ctx context.Context, table *quorum.Table) ([]quorum.Record, bool) {
-	if k.ending == nil || !k.ending.Ends(table) {
-		k.ending = quorum.NewSealing(table)
+	if k.activeSealing == nil || !k.activeSealing.Ends(table) {
+		k.activeSealing = quorum.NewSealing(table)
 	}
-	sealing := k.ending
+	sealing := k.activeSealing
 	sealing.Resume()
-	answers := make(chan quorum.Message, answersKept)
+	answers := make(chan quorum.Message, maxQueuedAnswers)
 	k.mu.Lock()
 	k.sequence++
 	sequence := k.sequence
-	k.sealings = answers
+	k.sealAnswers = answers
 	k.mu.Unlock()
 	defer func() {
 		k.mu.Lock()
-		k.sealings = nil
+		k.sealAnswers = nil
 		k.mu.Unlock()
 	}()
-	limited, cancel := context.WithTimeout(ctx, sealLimit)
+	timeoutCtx, cancel := context.WithTimeout(ctx, sealTimeout)
 	defer cancel()
-	pause := sealInterval
+	pause := sealRetryInterval
 	k.send(sealing.Questions(k.cfg.Name, k.cfg.Life, sequence))
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
@@ -364,22 +367,22 @@
 		select {
 		case m := <-answers:
 			if m.Sequence != sequence {
-				// It answers an earlier attempt.
+				// Answer to an earlier attempt.
 				continue
 			}
-			news := sealing.Take(&m)
-			if records, ended := sealing.Outcome(); ended {
+			added := sealing.Take(&m)
+			if records, sealed := sealing.Outcome(); sealed {
 				return records, true
 			}
-			if !news {
+			if !added {
 				continue
 			}
 			k.send(sealing.Next(&m, k.cfg.Name, k.cfg.Life, sequence))
-			pause = sealInterval
+			pause = sealRetryInterval
 		case <-timer.C:
 			k.send(sealing.Questions(k.cfg.Name, k.cfg.Life, sequence))
 			pause *= 2
-		case <-limited.Done():
+		case <-timeoutCtx.Done():
 			k.cfg.Log.Write(eventlog.EraNotEnded, zap.Uint64("era", table.Era), zap.Any("told", sealing.Told()))
 			return nil, false
 		}
--- a/internal/proxy/tenure/seats_test.go
+++ b/internal/proxy/tenure/voters_test.go
@@ -12,90 +12,90 @@
 	"dewknot/internal/proxy/quorum"
 )
 
-// thirds places nodes k0, k1, ... in three regions of two zones each by turns.
-func thirds(name string) (zone, region string) {
+// threeRegions places nodes k0, k1, ... in three regions with two zones each, round-robin.
+func threeRegions(name string) (zone, region string) {
 	var number int
 	_, _ = fmt.Sscanf(name, "k%d", &number)
 	return fmt.Sprintf("z%d", number%6), fmt.Sprintf("r%d", number%3)
 }
 
-// inRegions counts a table's voters by region.
-func inRegions(table *quorum.Table) map[string]int {
+// votersByRegion counts a table's voters by region.
+func votersByRegion(table *quorum.Table) map[string]int {
 	count := map[string]int{}
-	for _, seat := range table.Seats {
-		_, region := thirds(seat.Name)
+	for _, entry := range table.Seats {
+		_, region := threeRegions(entry.Name)
 		count[region]++
 	}
 	return count
 }
 
-// TestFirstTableOfABusyFleet guards against a first table of one voter: nodes that are busy with
-// their start answer the first inquiries too late.
+// TestFirstTableOfABusyFleet guards against a first table with one voter, made because the other
+// nodes were busy and answered the first inquiries too late.
 func TestFirstTableOfABusyFleet(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		n := newNetwork(0)
-		n.placeOf = thirds
-		// Each answer comes between two inquiries.
-		n.way = 100 * time.Millisecond
+		n.locationOf = threeRegions
+		// Each answer arrives between two inquiries.
+		n.latency = 100 * time.Millisecond
 		for i := range 12 {
 			n.start(fmt.Sprintf("k%d", i))
 		}
 		time.Sleep(3 * time.Second)
-		n.setWay(12 * time.Millisecond)
+		n.setLatency(12 * time.Millisecond)
 		time.Sleep(3 * time.Second)
 		table := n.keepers["k0"].table()
 		must.NotNil(t, table)
 		must.Len(t, quorum.MaxVoters, table.Seats)
-		for region, voters := range inRegions(table) {
+		for region, voters := range votersByRegion(table) {
 			must.Less(t, table.Majority(), voters, must.Sprint(region))
 		}
-		n.end()
+		n.stop()
 	})
 }
 
-// TestCrowdedTableIsSpread guards against voters of which one region has a majority: the loss or
-// the cut of that region leaves no majority. Nodes of other regions that come later get seats.
-func TestCrowdedTableIsSpread(t *testing.T) {
+// TestVotersAreRebalancedAcrossRegions guards against a table that leaves one region with a
+// majority of voters after nodes of other regions have joined.
+func TestVotersAreRebalancedAcrossRegions(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		n := newNetwork(0)
-		n.placeOf = thirds
+		n.locationOf = threeRegions
 		for i := 0; i < 30; i += 3 {
 			n.start(fmt.Sprintf("k%d", i))
 		}
 		time.Sleep(6 * time.Second)
 		must.Len(t, quorum.MaxVoters, n.keepers["k0"].table().Seats)
-		opened(t, n.keepers["k0"], n.keepers["k0"].table().LeastBallot()+1, "a")
+		openTenure(t, n.keepers["k0"], n.keepers["k0"].table().LeastBallot()+1, "a")
 		for i := range 30 {
 			if i%3 != 0 {
 				n.start(fmt.Sprintf("k%d", i))
 			}
 		}
-		time.Sleep(2*growInterval + changeLimit)
+		time.Sleep(2*growInterval + changeTimeout)
 		table := n.keepers["k0"].table()
 		must.Len(t, quorum.MaxVoters, table.Seats)
-		for region, voters := range inRegions(table) {
+		for region, voters := range votersByRegion(table) {
 			must.Less(t, table.Majority(), voters, must.Sprint(region))
 		}
 		must.True(t, n.keepers["k1"].View("s").Covers(time.Now()))
-		// It stays as it is then.
+		// The table doesn't change again.
 		time.Sleep(3 * growInterval)
 		must.Eq(t, table.Era, n.keepers["k0"].table().Era)
-		n.end()
+		n.stop()
 	})
 }
 
-// TestLostVoterWhileStoreIsDown guards against an era that is ended while no table can be written:
-// no node had leases then until the store was back, though a majority of voters was there.
+// TestLostVoterWhileStoreIsDown guards against sealing a generation while no new table can be
+// written: no node would have leases until the store is back, though a majority of voters is left.
 func TestLostVoterWhileStoreIsDown(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		n := newNetwork(8)
 		time.Sleep(6 * time.Second)
 		n.kill(n.keepers["k0"].table().Seats[0].Name)
-		time.Sleep(silentSpan + changeLimit)
-		// The voter in charge has written the table, and so knows its revision.
-		inCharge := n.keepers[n.anyKeeper().table().Seats[0].Name]
-		table := inCharge.table()
-		opened(t, inCharge, table.LeastBallot()+1, "a")
+		time.Sleep(silenceTimeout + changeTimeout)
+		// The maintainer has written the table and so knows its revision.
+		maintainer := n.keepers[n.anyKeeper().table().Seats[0].Name]
+		table := maintainer.table()
+		openTenure(t, maintainer, table.LeastBallot()+1, "a")
 		n.store.SetDown(true)
 		n.kill(table.Seats[4].Name)
 		for range 100 {
@@ -105,18 +105,18 @@
 			}
 		}
 		n.store.SetDown(false)
-		time.Sleep(changeLimit)
+		time.Sleep(changeTimeout)
 		for name, k := range n.keepers {
 			must.Eq(t, table.Era+1, k.table().Era, must.Sprint(name))
 			must.True(t, k.View("s").Covers(time.Now()), must.Sprint(name))
 		}
-		n.end()
+		n.stop()
 	})
 }
 
-// TestVotersBearALoss: whatever nodes live where, the voters are as many as their number asks
-// for, and no zone or region has more of them than it must.
-func TestVotersBearALoss(t *testing.T) {
+// TestVotersSurviveLossOfRegion guards against too few voters, and against a zone or region with
+// more of them than necessary.
+func TestVotersSurviveLossOfRegion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		regions := rapid.IntRange(1, 4).Draw(t, "regions")
 		var peers []Peer
@@ -135,30 +135,30 @@
 				before.Seats = append(before.Seats, quorum.Seat{Name: peers[i].Name})
 			}
 		}
-		seats := k.seats(before, peers[:len(peers)-1])
-		must.Len(t, seatsFor(len(peers)), seats)
-		room := 0
+		voters := k.selectVoters(before, peers[:len(peers)-1])
+		must.Len(t, voterCountFor(len(peers)), voters)
+		total := 0
 		for _, nodes := range count {
-			room += min(nodes, (len(seats)-1)/2)
+			total += min(nodes, (len(voters)-1)/2)
 		}
-		if room >= len(seats) {
+		if total >= len(voters) {
 			inRegion := map[string]int{}
-			for _, seat := range seats {
-				peer := k.places(peers)[seat.Name]
+			for _, entry := range voters {
+				peer := k.locations(peers)[entry.Name]
 				inRegion[peer.Region]++
-				must.LessEq(t, max(1, (len(seats)-1)/2), inRegion[peer.Region])
+				must.LessEq(t, max(1, (len(voters)-1)/2), inRegion[peer.Region])
 			}
-			must.False(t, k.crowded(seats) && fits(k, peers, len(seats)))
+			must.False(t, k.unbalanced(voters) && fits(k, peers, len(voters)))
 		}
 	})
 }
 
-// fits reports whether the bounds of zones and regions can be met at the same time by taking one
-// node after the other, which is how the voters are chosen.
-func fits(k *Keeper, peers []Peer, wanted int) bool {
-	c := newChoice(k.places(peers), wanted)
-	for len(c.chosen) < wanted {
-		name := c.best()
+// fits reports whether choosing one node after the other, as selectVoters does, can keep the limits
+// of zones and regions at the same time.
+func fits(k *Keeper, peers []Peer, size int) bool {
+	c := newSelection(k.locations(peers), size)
+	for len(c.chosen) < size {
+		name := c.next()
 		if !c.fits(name) {
 			return false
 		}
