--- a/internal/proxy/remote/host.go
+++ b/internal/proxy/remote/host.go
@@ -18,32 +18,33 @@
 	"dewknot/internal/proxy/upstream"
 )
 
-// Server is a database server as its owner reaches it.
+// Server is a database server as its owner accesses it.
 type Server interface {
-	// Lend lends a connection of a principal.
+	// Lend returns a connection of a principal.
 	Lend(principal upstream.Principal, deadline time.Time) (*upstream.Lease, error)
 	// Silent reports whether the server does not answer this node.
 	Silent() bool
-	// Behind returns the server's position, and whether it has just been seen to lack
-	// another one.
-	Behind(floor position.Position) (position.Position, bool)
-	// Enter waits for leave to run on the server; Leave ends what was let in.
-	Enter(place admission.Request, deadline time.Time) bool
+	// Behind returns the server's position, and whether it was recently seen to lack the minimum
+	// position.
+	Behind(minimum position.Position) (position.Position, bool)
+	// Enter waits for a slot on the server until the deadline and reports whether it got one. Leave
+	// gives the slot back.
+	Enter(work admission.Request, deadline time.Time) bool
 	Leave(class admission.Class, batch *upstream.Batch, result *upstream.Result)
-	// Report returns what waits for the server.
+	// Report returns the current load report on the server.
 	Report() told.Report
-	// Proof returns the newest position that covers all commits acknowledged
-	// before a time; zero if none is known.
+	// Proof returns the newest known position that covers all commits acknowledged before a time;
+	// zero if none is known.
 	Proof() (at time.Time, covers position.Position)
 }
 
 // Host finds the servers that a node may own.
 type Host interface {
-	// Owned returns a server, nil if the node does not know it.
+	// Owned returns a server, or nil if the node does not know it.
 	Owned(server string) Server
 }
 
-// Owner serves links. It is safe for concurrent use.
+// Owner serves links of other nodes. It is safe for concurrent use.
 type Owner struct {
 	host Host
 
@@ -55,14 +56,14 @@
 // NewOwner returns an owner of a host's connections.
 func NewOwner(host Host) *Owner { return &Owner{host: host, links: map[*hostLink]struct{}{}} }
 
-// Leave tells all asking nodes to turn to others; what is under way goes on.
+// Leave asks all linked nodes to use other owners for new work. Running work goes on.
 func (o *Owner) Leave() {
 	o.mu.Lock()
 	o.leaving = true
 	links := maps.Clone(o.links)
 	o.mu.Unlock()
 	for l := range links {
-		go l.tellLeaving()
+		go l.sendLeaving()
 	}
 }
 
@@ -75,7 +76,7 @@
 	}
 }
 
-// Active counts the sessions on which something runs or is open.
+// Active counts the sessions with a running batch or an open transaction.
 func (o *Owner) Active() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -86,7 +87,7 @@
 	return active
 }
 
-// Serve serves a link until its connection ends, and rolls back what is then open.
+// Serve serves a link until its connection ends, and then rolls back its open transactions.
 func (o *Owner) Serve(conn net.Conn) {
 	l := &hostLink{
 		host: o.host, conn: conn, w: framing.NewWriter(deadlineWriter{conn}), streams: map[uint64]*hostStream{},
@@ -96,9 +97,9 @@
 	leaving := o.leaving
 	o.mu.Unlock()
 	if leaving {
-		l.tellLeaving()
+		l.sendLeaving()
 	}
-	l.readLoop(bufio.NewReaderSize(conn, readBuffer))
+	l.readLoop(bufio.NewReaderSize(conn, readBufferBytes))
 	_ = conn.Close()
 	o.mu.Lock()
 	delete(o.links, l)
@@ -116,19 +117,19 @@
 	streams map[uint64]*hostStream
 }
 
-// hostStream is a session while a transaction is open or a batch runs. Batches of
-// a stream never overlap: its user waits for each answer.
+// hostStream is a session with an open transaction or a running batch. Batches of a stream never
+// overlap because its user waits for each response.
 type hostStream struct {
 	lease  *upstream.Lease
 	values map[string]string
 	state  upstream.TransactionState
-	// running and closing are guarded by the link's lock: an end that comes
-	// while a batch runs waits for it.
+	// running and closing are guarded by the link's mutex. closing is set if the stream has to end
+	// after the running batch.
 	running bool
 	closing bool
 }
 
-func (l *hostLink) tellLeaving() { _ = l.w.Send(frameLeaving, 0, &empty{}) }
+func (l *hostLink) sendLeaving() { _ = l.w.Send(frameLeaving, 0, &empty{}) }
 
 func (l *hostLink) readLoop(r *bufio.Reader) {
 	for {
@@ -137,9 +138,9 @@
 			return
 		}
 		switch f.Kind {
-		case frameRun:
-			asked := new(request)
-			if codec.Decode(f.Body, asked) != nil || !asked.acceptable() || !l.take(f.Stream, asked) {
+		case frameRequest:
+			req := new(request)
+			if codec.Decode(f.Body, req) != nil || !req.valid() || !l.startBatch(f.Stream, req) {
 				return
 			}
 		case frameEnd:
@@ -152,36 +153,36 @@
 	}
 }
 
-// take begins a batch; it reports false if one runs on the stream already.
-func (l *hostLink) take(number uint64, asked *request) bool {
+// startBatch starts a batch. It returns false if one is already running on the stream.
+func (l *hostLink) startBatch(streamID uint64, req *request) bool {
 	received := time.Now()
 	l.mu.Lock()
-	stream := l.streams[number]
+	stream := l.streams[streamID]
 	if stream != nil && stream.running {
 		l.mu.Unlock()
 		return false
 	}
 	if stream == nil {
 		stream = &hostStream{values: map[string]string{}}
-		l.streams[number] = stream
+		l.streams[streamID] = stream
 	}
 	stream.running = true
 	l.mu.Unlock()
 	go func() {
-		answered := l.run(stream, asked, received)
-		l.finish(number, stream)
-		_ = l.w.Send(frameRan, number, answered)
+		resp := l.run(stream, req, received)
+		l.finish(streamID, stream)
+		_ = l.w.Send(frameResponse, streamID, resp)
 	}()
 	return true
 }
 
-// finish ends a batch, and the stream if nothing is open on it or it is to end.
-func (l *hostLink) finish(number uint64, stream *hostStream) {
+// finish ends a batch, and also the stream if it has no open transaction or has to end.
+func (l *hostLink) finish(streamID uint64, stream *hostStream) {
 	l.mu.Lock()
 	stream.running = false
 	ends := stream.closing || stream.lease == nil
 	if ends {
-		delete(l.streams, number)
+		delete(l.streams, streamID)
 	}
 	l.mu.Unlock()
 	if ends {
@@ -189,25 +190,25 @@
 	}
 }
 
-func (l *hostLink) run(stream *hostStream, asked *request, received time.Time) *response {
-	target := l.host.Owned(asked.Server)
-	if asked.Open != (stream.lease != nil) {
-		// One side believes in a transaction that the other has ended.
+func (l *hostLink) run(stream *hostStream, req *request, received time.Time) *response {
+	target := l.host.Owned(req.Server)
+	if req.Open != (stream.lease != nil) {
+		// One side assumes a transaction that the other one has ended.
 		stream.end()
 		return &response{Lost: true}
 	}
 	if target == nil {
 		stream.end()
-		return &response{Results: notRun(asked.Operations, upstream.Unreached, upstream.Idle)}
+		return &response{Results: notRun(req.Operations, upstream.Unreached, upstream.Idle)}
 	}
-	answered := stream.run(target, asked, received)
+	resp := stream.run(target, req, received)
 	if at, covers := target.Proof(); !covers.IsZero() {
-		answered.Proof, answered.ProofAge = covers, time.Since(at)
+		resp.Proof, resp.ProofAge = covers, time.Since(at)
 	}
 	load := target.Report()
 	load.Held = told.Milliseconds(time.Since(received))
-	answered.Load = &load
-	return answered
+	resp.Load = &load
+	return resp
 }
 
 func notRun(operations []upstream.Operation, outcome upstream.Outcome, state upstream.TransactionState) []upstream.Result {
@@ -218,10 +219,10 @@
 	return results
 }
 
-// end rolls back what is open on a stream, once its batch is over.
-func (l *hostLink) end(number uint64) {
+// end rolls back a stream's transaction, after its running batch if there is one.
+func (l *hostLink) end(streamID uint64) {
 	l.mu.Lock()
-	stream := l.streams[number]
+	stream := l.streams[streamID]
 	if stream == nil || stream.running {
 		if stream != nil {
 			stream.closing = true
@@ -229,28 +230,28 @@
 		l.mu.Unlock()
 		return
 	}
-	delete(l.streams, number)
+	delete(l.streams, streamID)
 	l.mu.Unlock()
 	go stream.end()
 }
 
 func (l *hostLink) endAll() {
 	l.mu.Lock()
-	numbers := slices.Collect(maps.Keys(l.streams))
+	streamIDs := slices.Collect(maps.Keys(l.streams))
 	l.mu.Unlock()
-	for _, number := range numbers {
-		l.end(number)
+	for _, streamID := range streamIDs {
+		l.end(streamID)
 	}
 }
 
-// active counts the streams on which something runs or is open.
+// active counts the streams with a running batch or an open transaction.
 func (l *hostLink) active() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.streams)
 }
 
-// end rolls back what is open.
+// end rolls back an open transaction.
 func (s *hostStream) end() {
 	if s.lease != nil {
 		s.lease.RollBack()
@@ -258,34 +259,34 @@
 	}
 }
 
-// run runs a batch.
-func (s *hostStream) run(target Server, asked *request, received time.Time) *response {
-	deadline := received.Add(asked.Budget)
-	slot := slotOperation(asked.Operations)
-	operations := asked.Operations
+// run runs a batch if the server has the minimum position, a slot and a connection for it.
+func (s *hostStream) run(target Server, req *request, received time.Time) *response {
+	deadline := received.Add(req.Budget)
+	slot := slotOperation(req.Operations)
+	operations := req.Operations
 	if s.lease == nil {
-		if at, behind := target.Behind(floorOf(operations)); behind {
-			return &response{Results: behindAt(operations, at)}
+		if at, behind := target.Behind(minimumPosition(operations)); behind {
+			return &response{Results: behindResults(operations, at)}
 		}
 	}
-	if slot >= 0 && !target.Enter(s.place(asked, received), earlier(deadline, received.Add(asked.Ticket.Wait))) {
-		return s.refused(target, operations, deadline)
+	if slot >= 0 && !target.Enter(s.admissionRequest(req, received), earlier(deadline, received.Add(req.Ticket.Wait))) {
+		return s.reject(target, operations, deadline)
 	}
 	if s.lease == nil {
-		lease, err := target.Lend(asked.Principal, earlier(deadline, time.Now().Add(lendWait)))
+		lease, err := target.Lend(req.Principal, earlier(deadline, time.Now().Add(acquireTimeout)))
 		if err != nil {
 			if slot >= 0 {
-				target.Leave(asked.Ticket.Class, &upstream.Batch{Err: err}, nil)
+				target.Leave(req.Ticket.Class, &upstream.Batch{Err: err}, nil)
 			}
-			return &response{Results: notRun(operations, lendOutcome(target, err), upstream.Idle)}
+			return &response{Results: notRun(operations, acquireOutcome(target, err), upstream.Idle)}
 		}
 		s.lease = lease
 	}
-	return s.runOn(target, operations, slot, asked.Ticket.Class, deadline)
+	return s.runOn(target, operations, slot, req.Ticket.Class, deadline)
 }
 
-// floorOf returns the position that operations need; zero if they need none.
-func floorOf(operations []upstream.Operation) position.Position {
+// minimumPosition returns the position that operations require; zero if they require none.
+func minimumPosition(operations []upstream.Operation) position.Position {
 	for i := range operations {
 		if !operations[i].Floor.IsZero() {
 			return operations[i].Floor
@@ -294,8 +295,9 @@
 	return position.Position{}
 }
 
-// behindAt answers operations that did not run, since the server is at an earlier position.
-func behindAt(operations []upstream.Operation, at position.Position) []upstream.Result {
+// behindResults returns the results of operations that did not run because the server's position is
+// too old.
+func behindResults(operations []upstream.Operation, at position.Position) []upstream.Result {
 	results := notRun(operations, upstream.Behind, upstream.Idle)
 	for i := range results {
 		results[i].Position = at
@@ -303,24 +305,24 @@
 	return results
 }
 
-// lendWait bounds the wait for a connection.
-const lendWait = 150 * time.Millisecond
+// acquireTimeout bounds the wait for a connection.
+const acquireTimeout = 150 * time.Millisecond
 
-// runOn runs operations on the stream's connection. If one of them takes a slot, work of
-// a class was let in for it.
+// runOn runs operations on the stream's connection. If slot is not negative, it is the index of the
+// operation for which work of a class has entered the server, and runOn ends that work.
 func (s *hostStream) runOn(target Server, operations []upstream.Operation, slot int, class admission.Class, deadline time.Time) *response {
 	plan := s.plan(operations)
 	if len(plan.operations) == 0 {
-		return &response{Results: plan.visible(nil, len(operations))}
+		return &response{Results: plan.requestResults(nil, len(operations))}
 	}
 	batch := s.lease.Run(plan.operations, deadline)
-	answered := &response{Results: plan.visible(batch.Results, len(operations)), Lost: batch.Err != nil}
-	// The connection is given back first: whoever is let in next may use it.
+	resp := &response{Results: plan.requestResults(batch.Results, len(operations)), Lost: batch.Err != nil}
+	// This runs after the connection is returned, so that the next admitted work can use it.
 	if slot >= 0 {
 		defer func() {
 			var result *upstream.Result
-			if slot < len(answered.Results) {
-				result = &answered.Results[slot]
+			if slot < len(resp.Results) {
+				result = &resp.Results[slot]
 			}
 			target.Leave(class, &batch, result)
 		}()
@@ -335,12 +337,12 @@
 	default:
 		s.state = batch.Last().State
 	}
-	return answered
+	return resp
 }
 
-// refused answers operations for which the server had no slot in time; those
-// that take none, such as the end of the transaction, run all the same.
-func (s *hostStream) refused(target Server, operations []upstream.Operation, deadline time.Time) *response {
+// reject returns the results of operations for which there was no slot in time. Rollbacks need no
+// slot and run nevertheless.
+func (s *hostStream) reject(target Server, operations []upstream.Operation, deadline time.Time) *response {
 	if s.lease == nil {
 		return &response{Results: notRun(operations, upstream.Busy, upstream.Idle)}
 	}
@@ -349,16 +351,16 @@
 		if operations[i].Kind != upstream.Rollback {
 			continue
 		}
-		answered := s.runOn(target, operations[i:i+1], -1, 0, deadline)
-		if answered.Lost || len(answered.Results) == 0 {
+		resp := s.runOn(target, operations[i:i+1], -1, 0, deadline)
+		if resp.Lost || len(resp.Results) == 0 {
 			return &response{Results: results[:i], Lost: true}
 		}
-		results[i] = answered.Results[0]
+		results[i] = resp.Results[0]
 	}
 	return &response{Results: results}
 }
 
-// slotOperation returns the first operation that takes a slot, -1 if there is none.
+// slotOperation returns the index of the first operation that uses a slot, or -1.
 func slotOperation(operations []upstream.Operation) int {
 	for i := range operations {
 		if operations[i].Kind.UsesSlot() {
@@ -368,11 +370,11 @@
 	return -1
 }
 
-// place returns the request's place among the work that waits for the server.
-func (s *hostStream) place(asked *request, received time.Time) admission.Request {
-	ticket := &asked.Ticket
+// admissionRequest returns the request for a slot on the server.
+func (s *hostStream) admissionRequest(req *request, received time.Time) admission.Request {
+	ticket := &req.Ticket
 	return admission.Request{
-		Class: ticket.Class, Priority: ticket.Priority, Arrived: received.Add(-ticket.Age), Principal: string(asked.Principal), Holds: s.lease != nil,
+		Class: ticket.Class, Priority: ticket.Priority, Arrived: received.Add(-ticket.Age), Principal: string(req.Principal), Holds: s.lease != nil,
 	}
 }
 
@@ -383,13 +385,13 @@
 	return b
 }
 
-// lendOutcome tells what the lack of a connection means.
-func lendOutcome(target Server, err error) upstream.Outcome {
-	if refusal, refused := upstream.RefusalOf(err); refused {
-		if refusal == upstream.ConnectionLimit {
+// acquireOutcome returns the outcome of operations for which no connection was acquired.
+func acquireOutcome(target Server, err error) upstream.Outcome {
+	if rejection, rejected := upstream.RefusalOf(err); rejected {
+		if rejection == upstream.ConnectionLimit {
 			return upstream.NoConnection
 		}
-		return refusal
+		return rejection
 	}
 	if (errors.Is(err, upstream.ErrNoConnection) || errors.Is(err, os.ErrDeadlineExceeded)) && !target.Silent() {
 		return upstream.NoConnection
@@ -397,15 +399,16 @@
 	return upstream.Unreached
 }
 
-// batchPlan is what runs on a connection for a request's operations.
+// batchPlan holds the operations to run on a connection for a request.
 type batchPlan struct {
 	operations []upstream.Operation
-	// places holds, for each operation of the request, its place in operations,
-	// or -1 if it is answered here.
-	places []int
+	// indexes maps each operation of the request to its index in operations, or to -1 if it needs
+	// no answer of the server.
+	indexes []int
 }
 
-// plan leaves session values and prepared statements to what the connection needs.
+// plan records session values, and adds only the values and prepared statements that the connection
+// lacks.
 func (s *hostStream) plan(operations []upstream.Operation) batchPlan {
 	var p batchPlan
 	for i := range operations {
@@ -413,14 +416,14 @@
 		switch operation.Kind {
 		case upstream.ResetSession:
 			clear(s.values)
-			p.places = append(p.places, -1)
+			p.indexes = append(p.indexes, -1)
 			continue
 		case upstream.SetValue:
 			s.values[operation.Name] = operation.Value
-			p.places = append(p.places, -1)
+			p.indexes = append(p.indexes, -1)
 			continue
 		case upstream.PrepareStatement:
-			p.places = append(p.places, -1)
+			p.indexes = append(p.indexes, -1)
 			continue
 		case upstream.RunStatement:
 			p.operations = append(p.operations, s.lease.Adapt(s.values, operation.Statement)...)
@@ -428,25 +431,25 @@
 			p.operations = append(p.operations, s.lease.Adapt(s.values, nil)...)
 		default:
 		}
-		p.places = append(p.places, len(p.operations))
+		p.indexes = append(p.indexes, len(p.operations))
 		p.operations = append(p.operations, *operation)
 	}
 	return p
 }
 
-// visible returns the answers to the request's operations, up to the first that
-// was not answered.
-func (p *batchPlan) visible(results []upstream.Result, count int) []upstream.Result {
-	visible := make([]upstream.Result, 0, count)
-	for _, at := range p.places {
+// requestResults returns the results of the request's operations, up to the first without an
+// answer.
+func (p *batchPlan) requestResults(results []upstream.Result, count int) []upstream.Result {
+	answered := make([]upstream.Result, 0, count)
+	for _, index := range p.indexes {
 		switch {
-		case at < 0:
-			visible = append(visible, upstream.Result{Outcome: upstream.Succeeded})
-		case at < len(results):
-			visible = append(visible, results[at])
+		case index < 0:
+			answered = append(answered, upstream.Result{Outcome: upstream.Succeeded})
+		case index < len(results):
+			answered = append(answered, results[index])
 		default:
-			return visible
+			return answered
 		}
 	}
-	return visible
+	return answered
 }
--- a/internal/proxy/remote/link.go
+++ b/internal/proxy/remote/link.go
@@ -15,43 +15,44 @@
 	"dewknot/internal/proxy/upstream"
 )
 
-// Times of a link's watch.
+// Timing of a link's checks.
 const (
-	// pingInterval is the pause between looks while answers are awaited.
+	// pingInterval is the pause between checks while responses are pending.
 	pingInterval = 100 * time.Millisecond
-	// suspicionLimit is after how long without a frame, while answers are awaited,
-	// new work turns to another owner.
-	suspicionLimit = 300 * time.Millisecond
-	// silenceLimit is after how long without a frame, while answers are awaited,
-	// the link counts as lost.
-	silenceLimit = 800 * time.Millisecond
-	// writeLimit bounds a write: a peer that reads nothing must not hold up its callers.
-	writeLimit = 2 * time.Second
+	// suspicionTimeout is the time without a frame, while responses are pending, after which new
+	// work goes to another owner.
+	suspicionTimeout = 300 * time.Millisecond
+	// silenceTimeout is the time without a frame, while responses are pending, after which the link
+	// counts as lost.
+	silenceTimeout = 800 * time.Millisecond
+	// writeTimeout bounds a write, so that a peer that stops reading doesn't block its callers.
+	writeTimeout = 2 * time.Second
 )
 
-// ProofFunc takes a position that covers all commits acknowledged before a time.
+// ProofFunc receives a position that covers all commits acknowledged before a time.
 type ProofFunc func(server string, at time.Time, covers position.Position)
 
-// ReportFunc takes what an owner tells of the work that waits for a server, on the answer
-// to a question that was sent at a time.
+// ReportFunc receives an owner's load report on a server, and when the request was sent whose
+// response carried it.
 type ReportFunc func(server string, sent time.Time, report *told.Report)
 
-// lives counts the links: a link leads to one process, whose reports it tells apart.
-var lives atomic.Uint64
+// linkCount numbers the links. A link leads to one process, so its number identifies the
+// incarnation in that process's load reports.
+var linkCount atomic.Uint64
 
-// Link is the asking end of a link to an owner. It is safe for concurrent use.
+// Link is the requesting node's end of a link to an owner. It is safe for concurrent use.
 type Link struct {
-	conn     net.Conn
-	w        *framing.Writer
-	onProof  ProofFunc
-	onReport ReportFunc
-	life     uint64
+	conn        net.Conn
+	w           *framing.Writer
+	onProof     ProofFunc
+	onReport    ReportFunc
+	incarnation uint64
 
 	leaving atomic.Bool
-	// suspect is set while the owner is silent for longer than usual.
+	// suspect is set while the owner is silent for longer than suspicionTimeout.
 	suspect atomic.Bool
-	// suspected is closed when the owner becomes suspect, and replaced when it is
-	// heard again; mu guards the field.
+	// suspected is closed when the owner becomes suspect, and replaced when a frame arrives again.
+	// It is guarded by mu.
 	suspected chan struct{}
 	// lost is closed when the link has ended.
 	lost chan struct{}
@@ -60,33 +61,33 @@
 	mu      sync.Mutex
 	waiting map[uint64]chan response
 	next    uint64
-	// heard is when a frame last came, asked when answers began to be awaited.
-	heard time.Time
-	asked time.Time
-	// watching is set while the watch runs.
+	// receivedAt is when the last frame arrived, waitingSince when responses became pending.
+	receivedAt   time.Time
+	waitingSince time.Time
+	// watching is set while watch is scheduled.
 	watching bool
 }
 
-// NewLink returns the asking end of a link over a connection.
+// NewLink returns the requesting node's end of a link over a connection.
 func NewLink(conn net.Conn, onProof ProofFunc, onReport ReportFunc) *Link {
 	l := &Link{
-		conn: conn, w: framing.NewWriter(deadlineWriter{conn}), onProof: onProof, onReport: onReport, life: lives.Add(1),
-		lost: make(chan struct{}), suspected: make(chan struct{}), waiting: map[uint64]chan response{}, heard: time.Now(),
+		conn: conn, w: framing.NewWriter(deadlineWriter{conn}), onProof: onProof, onReport: onReport, incarnation: linkCount.Add(1),
+		lost: make(chan struct{}), suspected: make(chan struct{}), waiting: map[uint64]chan response{}, receivedAt: time.Now(),
 	}
 	go l.readLoop()
 	return l
 }
 
-// deadlineWriter bounds each write of a connection.
+// deadlineWriter sets a deadline for each write to a connection.
 type deadlineWriter struct{ net.Conn }
 
 // Write implements net.Conn.
 func (w deadlineWriter) Write(content []byte) (int, error) {
-	_ = w.SetWriteDeadline(time.Now().Add(writeLimit))
+	_ = w.SetWriteDeadline(time.Now().Add(writeTimeout))
 	return w.Conn.Write(content)
 }
 
-// Alive reports whether the link is open, and its owner answers and wants new work.
+// Alive reports whether the link is open and its owner is responsive and accepts new work.
 func (l *Link) Alive() bool { return l.open() && !l.leaving.Load() && !l.suspect.Load() }
 
 func (l *Link) open() bool {
@@ -106,7 +107,7 @@
 	})
 }
 
-// Session returns a new session of a principal with a server through the owner.
+// Session returns a new session of a principal with a server, through the owner.
 func (l *Link) Session(server string, principal upstream.Principal) *Session {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -116,20 +117,20 @@
 
 func (l *Link) readLoop() {
 	defer l.Close()
-	r := bufio.NewReaderSize(l.conn, readBuffer)
+	r := bufio.NewReaderSize(l.conn, readBufferBytes)
 	for {
 		f, err := framing.Read(r, maxFrameBytes)
 		if err != nil {
 			return
 		}
-		l.hear()
+		l.recordReceived()
 		switch f.Kind {
-		case frameRan:
-			var answered response
-			if codec.Decode(f.Body, &answered) != nil {
+		case frameResponse:
+			var resp response
+			if codec.Decode(f.Body, &resp) != nil {
 				return
 			}
-			l.deliver(f.Stream, answered)
+			l.deliver(f.Stream, resp)
 		case frameLeaving:
 			l.leaving.Store(true)
 		default:
@@ -137,17 +138,17 @@
 	}
 }
 
-// hear notes that the owner has said something.
-func (l *Link) hear() {
+// recordReceived records a received frame, which ends a suspicion.
+func (l *Link) recordReceived() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.heard = time.Now()
+	l.receivedAt = time.Now()
 	if l.suspect.CompareAndSwap(true, false) {
 		l.suspected = make(chan struct{})
 	}
 }
 
-// suspectOwner turns new work, and reads under way, to another owner.
+// suspectOwner makes new work and pending reads go to another owner.
 func (l *Link) suspectOwner() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -156,86 +157,85 @@
 	}
 }
 
-// deliver hands a response to whoever awaits it; a late one is dropped.
-func (l *Link) deliver(stream uint64, answered response) {
+// deliver passes a response to the session that waits for it. A late response is dropped.
+func (l *Link) deliver(stream uint64, resp response) {
 	l.mu.Lock()
-	awaited := l.waiting[stream]
+	pending := l.waiting[stream]
 	delete(l.waiting, stream)
 	l.mu.Unlock()
-	if awaited != nil {
-		awaited <- answered
+	if pending != nil {
+		pending <- resp
 	}
 }
 
-// await announces that a stream awaits a response.
+// await registers a stream that waits for a response, and starts the checks of the link.
 func (l *Link) await(stream uint64) (answer chan response, suspected chan struct{}) {
-	awaited := make(chan response, 1)
+	pending := make(chan response, 1)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.waiting) == 0 {
-		l.asked = time.Now()
+		l.waitingSince = time.Now()
 	}
-	l.waiting[stream] = awaited
+	l.waiting[stream] = pending
 	if !l.watching {
 		l.watching = true
 		time.AfterFunc(pingInterval, l.watch)
 	}
-	return awaited, l.suspected
+	return pending, l.suspected
 }
 
-func (l *Link) forget(stream uint64) {
+func (l *Link) cancelWait(stream uint64) {
 	l.mu.Lock()
 	delete(l.waiting, stream)
 	l.mu.Unlock()
 }
 
-// watch ends the link if the owner is silent while answers are awaited. A suspect
-// owner is watched to the end, also if nobody waits for it any longer.
+// watch closes the link if the owner is silent while responses are pending. A suspect owner is
+// checked until it answers or the link is lost, even if nothing waits for it any more.
 func (l *Link) watch() {
 	now := time.Now()
 	l.mu.Lock()
-	silent := min(now.Sub(l.heard), now.Sub(l.asked))
+	silent := min(now.Sub(l.receivedAt), now.Sub(l.waitingSince))
 	l.watching = (len(l.waiting) > 0 || l.suspect.Load()) && l.open()
 	watching := l.watching
 	l.mu.Unlock()
 	switch {
 	case !watching:
-	case silent >= silenceLimit:
+	case silent >= silenceTimeout:
 		l.Close()
 	default:
-		if silent >= suspicionLimit {
+		if silent >= suspicionTimeout {
 			l.suspectOwner()
 		}
 		if silent >= pingInterval {
-			// A ping that cannot be written shows in the silence.
+			// A failed ping needs no handling: the owner's silence shows it.
 			go func() { _ = l.w.Send(framePing, 0, &empty{}) }()
 		}
 		time.AfterFunc(pingInterval, l.watch)
 	}
 }
 
-// Session is a connection to a server through its owner. It implements
-// upstream.Connection.
+// Session is a connection to a server through its owner. It implements upstream.Connection.
 type Session struct {
 	link   *Link
 	stream uint64
 	server string
-	// principal is in whose name the session runs.
+	// principal is the user for whom the session runs.
 	principal upstream.Principal
 
 	ticket  Ticket
-	awaited chan response
-	// suspected ends the wait for an answer that another owner can give; nil if
-	// there is none.
+	pending chan response
+	// suspected ends the wait for a response that another owner can give as well; nil if none can.
 	suspected chan struct{}
 	sentAt    time.Time
 	results   []upstream.Result
-	// cause is why no further answers come.
+	// cause is why no more answers will come.
 	cause error
-	open  bool
+	// open is set while a transaction is open.
+	open bool
 }
 
-// Queue sets the place of the next operations among those that wait at the owner.
+// Queue sets the ticket with which the next operations wait at the owner.
 func (s *Session) Queue(ticket Ticket) { s.ticket = ticket }
 
 // Send implements upstream.Connection.
@@ -244,11 +244,11 @@
 		return ErrLinkLost
 	}
 	s.sentAt = time.Now()
-	s.awaited, s.suspected = s.link.await(s.stream)
+	s.pending, s.suspected = s.link.await(s.stream)
 	if s.open || !repeatable(operations) {
 		s.suspected = nil
 	}
-	err := s.link.w.Send(frameRun, s.stream, &request{
+	err := s.link.w.Send(frameRequest, s.stream, &request{
 		Server: s.server, Operations: operations, Budget: deadline.Sub(s.sentAt), Open: s.open, Ticket: s.ticket, Principal: s.principal,
 	})
 	if err != nil {
@@ -258,8 +258,8 @@
 	return err
 }
 
-// repeatable reports whether operations outside of a transaction change nothing that
-// lasts, so that they may be asked of another owner.
+// repeatable reports whether operations outside of a transaction have no lasting effect, so that
+// another owner may run them again.
 func repeatable(operations []upstream.Operation) bool {
 	for i := range operations {
 		operation := &operations[i]
@@ -272,8 +272,8 @@
 
 // Receive implements upstream.Connection.
 func (s *Session) Receive(_ upstream.OperationKind, deadline time.Time) (upstream.Result, error) {
-	if s.awaited != nil {
-		s.take(deadline)
+	if s.pending != nil {
+		s.awaitResponse(deadline)
 	}
 	if len(s.results) == 0 {
 		if s.cause == nil {
@@ -287,22 +287,22 @@
 	return result, nil
 }
 
-// take waits for the response to the last request.
-func (s *Session) take(deadline time.Time) {
+// awaitResponse waits for the response to the last request.
+func (s *Session) awaitResponse(deadline time.Time) {
 	timer := time.NewTimer(time.Until(deadline))
 	defer timer.Stop()
 	select {
-	case answered := <-s.awaited:
-		s.results = answered.Results
-		if answered.Lost {
+	case resp := <-s.pending:
+		s.results = resp.Results
+		if resp.Lost {
 			s.cause = ErrInDoubt
 		}
-		if !answered.Proof.IsZero() {
-			s.link.onProof(s.server, s.sentAt.Add(-answered.ProofAge), answered.Proof)
+		if !resp.Proof.IsZero() {
+			s.link.onProof(s.server, s.sentAt.Add(-resp.ProofAge), resp.Proof)
 		}
-		if answered.Load != nil {
-			answered.Load.Life = s.link.life
-			s.link.onReport(s.server, s.sentAt, answered.Load)
+		if resp.Load != nil {
+			resp.Load.Life = s.link.incarnation
+			s.link.onReport(s.server, s.sentAt, resp.Load)
 		}
 	case <-s.link.lost:
 		s.cause = ErrLinkLost
@@ -311,8 +311,8 @@
 	case <-timer.C:
 		s.cause = os.ErrDeadlineExceeded
 	}
-	s.link.forget(s.stream)
-	s.awaited = nil
+	s.link.cancelWait(s.stream)
+	s.pending = nil
 }
 
 // Alive implements upstream.Connection.
@@ -320,7 +320,7 @@
 
 // Close implements upstream.Connection.
 func (s *Session) Close() {
-	if s.cause == nil && !s.open && s.awaited == nil {
+	if s.cause == nil && !s.open && s.pending == nil {
 		return
 	}
 	if s.cause == nil {
--- a/internal/proxy/remote/links.go
+++ b/internal/proxy/remote/links.go
@@ -9,29 +9,29 @@
 	"time"
 )
 
-// Times of the links to owners.
+// Timing of links to owners.
 const (
-	dialLimit = 500 * time.Millisecond
-	// dialPatience is how long a link that is being opened is waited for before
-	// the next owner is tried.
-	dialPatience = 300 * time.Millisecond
-	// firstBackoff is the pause after an owner could not be reached; it doubles
-	// up to longestBackoff.
-	firstBackoff   = 250 * time.Millisecond
-	longestBackoff = 8 * time.Second
+	dialTimeout = 500 * time.Millisecond
+	// dialWaitTimeout is how long to wait for a link that is being opened before the next owner is
+	// tried.
+	dialWaitTimeout = 300 * time.Millisecond
+	// minBackoff is the pause after a failed attempt to reach an owner. It doubles up to
+	// maxBackoff.
+	minBackoff = 250 * time.Millisecond
+	maxBackoff = 8 * time.Second
 )
 
-// LinksConfig configures the links of a node.
+// LinksConfig configures a node's links.
 type LinksConfig struct {
-	// Dial opens a connection to the node at an address that serves a link.
+	// Dial opens a connection for a link to the node at an address.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
-	// OnProof takes what owners tell of the primaries.
+	// OnProof receives the owners' proofs of positions.
 	OnProof ProofFunc
-	// OnReport takes what they tell of the work that waits for servers.
+	// OnReport receives the owners' load reports.
 	OnReport ReportFunc
 }
 
-// Links are a node's links to owners, by address. It is safe for concurrent use.
+// Links are a node's links to owners, by address. They are safe for concurrent use.
 type Links struct {
 	cfg LinksConfig
 
@@ -41,29 +41,29 @@
 	changed chan struct{}
 }
 
-// peer is what is known of the way to one owner.
+// peer is the state of the link to one owner.
 type peer struct {
 	link *Link
-	// dialing is when the attempt under way began; zero if there is none.
-	dialing time.Time
-	retryAt time.Time
-	backoff time.Duration
+	// dialStarted is when the current attempt to open a link began; zero if there is none.
+	dialStarted time.Time
+	retryAt     time.Time
+	backoff     time.Duration
 }
 
-// NewLinks returns no links yet; they are opened when they are wanted.
+// NewLinks returns an empty set of links. Links are opened on demand.
 func NewLinks(cfg LinksConfig) *Links {
 	return &Links{cfg: cfg, peers: map[string]*peer{}, changed: make(chan struct{})}
 }
 
-// Pick returns a link to the first owner that can be reached, and its address; nil
-// if there is none before the deadline.
+// Pick returns a link to the first reachable owner, and its address. It returns nil if none becomes
+// reachable before the deadline.
 func (ls *Links) Pick(addresses []string, deadline time.Time) (*Link, string) {
 	for {
-		link, address, pending, changed := ls.look(addresses, time.Now())
+		link, address, pending, changed := ls.find(addresses, time.Now())
 		if link != nil || !pending {
 			return link, address
 		}
-		wait := min(time.Until(deadline), dialPatience)
+		wait := min(time.Until(deadline), dialWaitTimeout)
 		if wait <= 0 {
 			return nil, ""
 		}
@@ -76,10 +76,9 @@
 	}
 }
 
-// look returns the first open link. The first owner before it that can be tried is
-// being reached meanwhile; if no link is open, pending tells that waiting for one is
-// worth while.
-func (ls *Links) look(addresses []string, now time.Time) (link *Link, address string, pending bool, changed chan struct{}) {
+// find returns the first open link, and starts to dial the owners before it. If no link is open,
+// pending reports whether waiting for one is worthwhile.
+func (ls *Links) find(addresses []string, now time.Time) (link *Link, address string, pending bool, changed chan struct{}) {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
 	for _, candidate := range addresses {
@@ -96,37 +95,37 @@
 	return nil, "", pending, ls.changed
 }
 
-// dial opens a link if it is time to, and reports whether one is being opened that
-// is worth waiting for; the lock is held.
+// dial starts to open a link if one is needed and its backoff is over. It reports whether a link is
+// being opened that is worth waiting for. ls.mu must be held.
 func (ls *Links) dial(address string, p *peer, now time.Time) bool {
-	if !p.dialing.IsZero() {
-		return now.Sub(p.dialing) < dialPatience
+	if !p.dialStarted.IsZero() {
+		return now.Sub(p.dialStarted) < dialWaitTimeout
 	}
 	if now.Before(p.retryAt) || (p.link != nil && p.link.open()) {
 		return false
 	}
-	p.dialing = now
+	p.dialStarted = now
 	go ls.open(address, p)
 	return true
 }
 
 func (ls *Links) open(address string, p *peer) {
-	ctx, cancel := context.WithTimeout(context.Background(), dialLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
 	conn, err := ls.cfg.Dial(ctx, address)
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
-	p.dialing = time.Time{}
+	p.dialStarted = time.Time{}
 	if err == nil {
 		p.link, p.backoff = NewLink(conn, ls.cfg.OnProof, ls.cfg.OnReport), 0
 	} else {
-		p.backoff = min(max(2*p.backoff, firstBackoff), longestBackoff)
+		p.backoff = min(max(2*p.backoff, minBackoff), maxBackoff)
 		if errors.Is(err, syscall.ECONNREFUSED) {
-			// The machine answers, so its process is being started.
-			p.backoff = firstBackoff
+			// The node's machine refuses connections, so its process is probably restarting.
+			p.backoff = minBackoff
 		}
 	}
-	p.retryAt = time.Now().Add(max(p.backoff, firstBackoff))
+	p.retryAt = time.Now().Add(max(p.backoff, minBackoff))
 	close(ls.changed)
 	ls.changed = make(chan struct{})
 }
--- a/internal/proxy/remote/protocol.go
+++ b/internal/proxy/remote/protocol.go
@@ -1,10 +1,10 @@
-// Package remote runs operations on the connections of another node.
+// Package remote runs operations on database connections that another node owns.
 //
-// Where a server accepts fewer connections than there are nodes, one node owns
-// the connections to it, and the others send it their operations. A link is one
-// connection between two nodes; its streams are sessions of one user each. The
-// owner keeps a session's state only while a transaction is open, so a lost link
-// or owner costs no more than the transactions that were open through it.
+// If a server accepts fewer connections than there are nodes, one node owns its connections and the
+// other nodes send their operations to it. A link is a connection between two nodes, and its
+// streams are the sessions of single users. The owner keeps a session's state only while a
+// transaction is open, so losing a link or an owner costs only the transactions that were open
+// through it.
 package remote
 
 import (
@@ -18,59 +18,59 @@
 	"dewknot/internal/proxy/upstream"
 )
 
-// The kinds of frames.
+// Kinds of frames.
 const (
-	// frameRun carries a request, frameRan its response.
-	frameRun uint8 = iota
-	frameRan
-	// frameEnd ends a stream: what is open on it is rolled back.
+	// frameRequest carries a request, frameResponse its response.
+	frameRequest uint8 = iota
+	frameResponse
+	// frameEnd ends a stream. The owner rolls back its open transaction.
 	frameEnd
-	// framePing asks for life, framePong answers.
+	// framePing asks the owner whether it is alive, framePong answers.
 	framePing
 	framePong
-	// frameLeaving tells that the owner is about to stop.
+	// frameLeaving announces that the owner is about to stop.
 	frameLeaving
 )
 
-// maxFrameBytes bounds a frame: a few statements of the greatest size.
+// maxFrameBytes bounds a frame. It fits a few statements of the maximum size.
 const maxFrameBytes = 8 << 20
 
-// readBuffer is the size of a link's read buffer.
-const readBuffer = 8 << 10
+// readBufferBytes is the size of a link's read buffer.
+const readBufferBytes = 8 << 10
 
-// Ticket orders operations that take a slot among those that wait at the owner.
+// Ticket orders operations that use a slot in the owner's queue.
 type Ticket struct {
 	Class    admission.Class
 	Priority int
-	// Age is the time since the work arrived at its first node, less what it comes later for
-	// being late (admission.LateDelay).
+	// Age is the time since the work arrived at its first node, less the delay with which late work
+	// is queued (admission.LateDelay).
 	Age time.Duration
 	// Wait bounds the wait for a slot.
 	Wait time.Duration
 }
 
-// request asks for a batch of operations.
+// request asks the owner to run a batch of operations.
 type request struct {
 	Server     string
 	Operations []upstream.Operation
 	// Budget is the time left for the answers.
 	Budget time.Duration
-	// Open is set if the asking node believes that a transaction is open.
+	// Open is set if the requesting node assumes an open transaction.
 	Open   bool
 	Ticket Ticket
-	// Principal is in whose name the operations run.
+	// Principal is the user for whom the operations run.
 	Principal upstream.Principal
 }
 
-// The bounds of a request.
+// Limits of a request.
 const (
 	maxOperations = 64
 	maxBudget     = time.Minute
 )
 
-// acceptable reports whether an owner may run the request: callers' operations
-// only, each complete.
-func (r *request) acceptable() bool {
+// valid reports whether an owner may run the request. It may contain only operations of callers,
+// each complete.
+func (r *request) valid() bool {
 	if len(r.Operations) == 0 || len(r.Operations) > maxOperations || r.Budget > maxBudget || int(r.Ticket.Class) >= admission.Classes {
 		return false
 	}
@@ -85,16 +85,16 @@
 
 // response answers a request.
 type response struct {
-	// Results are the answers that came, in order.
+	// Results are the received answers, in the order of the operations.
 	Results []upstream.Result
-	// Lost is set if not all operations were answered; the rest is in doubt.
+	// Lost is set if not all operations were answered. The outcome of the others is in doubt.
 	Lost bool
-	// Proof is a position which covers all commits that were acknowledged
-	// ProofAge ago, as the owner knows it; zero if it knows none.
+	// Proof is a position that covers all commits acknowledged before ProofAge ago, as far as the
+	// owner knows; zero if it knows none.
 	Proof    position.Position
 	ProofAge time.Duration
-	// Load is what waits for the server; nil from an owner that does not tell it. It travels
-	// behind the response.
+	// Load is the owner's load report on the server, nil if it sends none. It is encoded as an
+	// extension after the response.
 	Load *told.Report `msgpack:"-"`
 }
 
@@ -106,7 +106,7 @@
 	return r.Load
 }
 
-// Extend implements codec.Extended. A report in a form that is not known here counts as none.
+// Extend implements codec.Extended. A report in an unknown form is ignored.
 func (r *response) Extend(decode func(extension any) error) error {
 	load := new(told.Report)
 	if decode(load) == nil {
@@ -117,11 +117,11 @@
 
 type empty struct{}
 
-// The ways in which an exchange with an owner fails.
+// Errors of requests to an owner. After both, the outcome of the operations is in doubt.
 var (
-	// ErrLinkLost is returned when the link ended before an answer came.
+	// ErrLinkLost is returned if the link ended before an answer arrived.
 	ErrLinkLost = errors.New("the link to the node that owns the connections is lost; what was sent is in doubt, use another node")
-	// ErrInDoubt is returned when the owner lost its connection to the server
-	// before an answer came.
+	// ErrInDoubt is returned if the owner lost its connection to the server before an answer
+	// arrived.
 	ErrInDoubt = errors.New("the node that owns the connections got no answer; what was sent is in doubt")
 )
--- a/internal/proxy/remote/remote_test.go
+++ b/internal/proxy/remote/remote_test.go
@@ -18,23 +18,22 @@
 	"dewknot/internal/proxy/upstream"
 )
 
-// fakeServer is a server that answers each operation at once, with the operation's
-// own name as its row.
+// fakeServer answers each operation at once, with the operation's request ID as its row.
 type fakeServer struct {
 	mu sync.Mutex
-	// full refuses all that needs a slot, gone all connections.
-	full, gone bool
+	// full rejects all work that needs a slot. silent makes the server count as silent.
+	full, silent bool
 	// behind makes the owner know that the server is at position 1/9.
 	behind bool
-	// lose makes the next statement's answer get lost.
-	lose bool
+	// loseAnswer drops the answer to the next statement.
+	loseAnswer bool
 	// hold, if set, delays statements until it is closed.
-	hold    chan struct{}
-	entered int
-	reports uint64
-	log     []upstream.OperationKind
-	pool    *upstream.Pool
-	proved  time.Time
+	hold     chan struct{}
+	entered  int
+	reports  uint64
+	log      []upstream.OperationKind
+	pool     *upstream.Pool
+	provedAt time.Time
 }
 
 func newFakeServer() *fakeServer {
@@ -64,7 +63,7 @@
 	return at, s.behind && !at.Covers(floor)
 }
 
-func (s *fakeServer) Silent() bool { return s.gone }
+func (s *fakeServer) Silent() bool { return s.silent }
 
 func (s *fakeServer) Enter(admission.Request, time.Time) bool {
 	s.mu.Lock()
@@ -90,7 +89,7 @@
 }
 
 func (s *fakeServer) Proof() (time.Time, position.Position) {
-	return s.proved, position.Position{Term: 1, Offset: 7}
+	return s.provedAt, position.Position{Term: 1, Offset: 7}
 }
 
 func (s *fakeServer) kinds() []upstream.OperationKind {
@@ -101,23 +100,23 @@
 
 // fakeConnection is a connection to a fakeServer.
 type fakeConnection struct {
-	server *fakeServer
-	queue  []upstream.Result
-	open   bool
-	lost   bool
+	server     *fakeServer
+	queue      []upstream.Result
+	open       bool
+	answerLost bool
 }
 
 func (c *fakeConnection) Send(operations []upstream.Operation, _ time.Time) error {
 	for _, operation := range operations {
 		c.server.mu.Lock()
 		c.server.log = append(c.server.log, operation.Kind)
-		lose, hold := c.server.lose && operation.Kind.UsesSlot(), c.server.hold
+		loseAnswer, hold := c.server.loseAnswer && operation.Kind.UsesSlot(), c.server.hold
 		c.server.mu.Unlock()
 		if hold != nil && operation.Kind.UsesSlot() {
 			<-hold
 		}
-		if lose {
-			c.lost = true
+		if loseAnswer {
+			c.answerLost = true
 			return nil
 		}
 		switch operation.Kind {
@@ -145,35 +144,35 @@
 	return result, nil
 }
 
-func (c *fakeConnection) Alive() bool { return !c.lost }
+func (c *fakeConnection) Alive() bool { return !c.answerLost }
 func (c *fakeConnection) Close()      {}
 
-type proofs struct {
-	mu   sync.Mutex
-	list []time.Time
-	view told.View
+type observations struct {
+	mu         sync.Mutex
+	proofTimes []time.Time
+	view       told.View
 }
 
 func ignoreReports(string, time.Time, *told.Report) {}
 
-// connect links an asking side to an owner of the server.
-func connect(t testing.TB, server *fakeServer) (*Link, *Owner, *proofs) {
+// connect opens a link to an owner of the server, and records the proofs and load reports.
+func connect(t testing.TB, server *fakeServer) (*Link, *Owner, *observations) {
 	t.Helper()
 	owner := NewOwner(server)
 	here, there := net.Pipe()
 	go owner.Serve(there)
-	taken := &proofs{}
+	observed := &observations{}
 	link := NewLink(here, func(_ string, at time.Time, _ position.Position) {
-		taken.mu.Lock()
-		defer taken.mu.Unlock()
-		taken.list = append(taken.list, at)
+		observed.mu.Lock()
+		defer observed.mu.Unlock()
+		observed.proofTimes = append(observed.proofTimes, at)
 	}, func(_ string, sent time.Time, report *told.Report) {
-		taken.mu.Lock()
-		defer taken.mu.Unlock()
-		taken.view.Observe(sent, report)
+		observed.mu.Lock()
+		defer observed.mu.Unlock()
+		observed.view.Observe(sent, report)
 	})
 	t.Cleanup(link.Close)
-	return link, owner, taken
+	return link, owner, observed
 }
 
 func lease(link *Link, server string) *upstream.Lease {
@@ -184,20 +183,19 @@
 	return upstream.Operation{Kind: upstream.RunStatement, RequestID: id, Statement: &command.Statement{RequestID: id}}
 }
 
-func soon() time.Time { return time.Now().Add(5 * time.Second) }
+func testDeadline() time.Time { return time.Now().Add(5 * time.Second) }
 
-func eventually(t *testing.T, what string, holds func() bool) {
+func eventually(t *testing.T, message string, condition func() bool) {
 	t.Helper()
-	for limit := time.Now().Add(5 * time.Second); !holds(); time.Sleep(time.Millisecond) {
-		if time.Now().After(limit) {
-			t.Fatal(what)
+	for deadline := time.Now().Add(5 * time.Second); !condition(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatal(message)
 		}
 	}
 }
 
-// TestStreamsOfALinkNeverMix runs statements of many users over one link; each gets
-// the answer to its own.
-func TestStreamsOfALinkNeverMix(t *testing.T) {
+// TestStreamsDoNotMix guards against responses that reach another user of the same link.
+func TestStreamsDoNotMix(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		link, _, _ := connect(t, newFakeServer())
 		var working sync.WaitGroup
@@ -205,7 +203,7 @@
 			working.Go(func() {
 				for i := range 20 {
 					id := string(rune('a'+user)) + string(rune('a'+i))
-					batch := lease(link, "s1").Run([]upstream.Operation{statement(id)}, soon())
+					batch := lease(link, "s1").Run([]upstream.Operation{statement(id)}, testDeadline())
 					must.NoError(t, batch.Err)
 					must.Eq(t, id, string(batch.Last().Rows[0]))
 				}
@@ -215,30 +213,31 @@
 	})
 }
 
-// TestTransactionKeepsItsConnection runs a transaction through the owner: its
-// session values go with it, and nothing is left open.
+// TestTransactionKeepsItsConnection guards against a transaction that changes its connection, loses
+// its session values, or is left open at the owner.
 func TestTransactionKeepsItsConnection(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		server := newFakeServer()
 		link, owner, _ := connect(t, server)
 		l := lease(link, "s1")
 		begin := append(l.Adapt(map[string]string{"zone": "a"}, nil), upstream.Operation{Kind: upstream.Begin})
-		batch := l.Run(begin, soon())
+		batch := l.Run(begin, testDeadline())
 		must.NoError(t, batch.Err)
 		must.Eq(t, upstream.InTransaction, batch.Last().State)
 		must.Eq(t, 1, owner.Active())
-		must.Len(t, 0, l.Adapt(map[string]string{"zone": "a"}, nil), must.Sprint("values stay while the transaction is open"))
-		batch = l.Run([]upstream.Operation{statement("x"), {Kind: upstream.Commit, RequestID: "x"}}, soon())
+		must.Len(t, 0, l.Adapt(map[string]string{"zone": "a"}, nil), must.Sprint("the owner keeps values while the transaction is open"))
+		batch = l.Run([]upstream.Operation{statement("x"), {Kind: upstream.Commit, RequestID: "x"}}, testDeadline())
 		must.NoError(t, batch.Err)
 		must.Eq(t, upstream.Idle, batch.Last().State)
 		must.Eq(t, 0, owner.Active())
 		must.Eq(t, []upstream.OperationKind{upstream.SetValue, upstream.Begin, upstream.RunStatement, upstream.Commit}, server.kinds())
-		must.Len(t, 1, l.Adapt(map[string]string{"zone": "a"}, nil), must.Sprint("an owner keeps no values between transactions"))
+		must.Len(t, 1, l.Adapt(map[string]string{"zone": "a"}, nil), must.Sprint("the owner must not keep values between transactions"))
 	})
 }
 
-// TestWhatIsLeftOpenIsRolledBack ends a transaction's session, then its link.
-func TestWhatIsLeftOpenIsRolledBack(t *testing.T) {
+// TestOpenTransactionIsRolledBack guards against transactions that stay open after their session or
+// link has ended.
+func TestOpenTransactionIsRolledBack(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		for _, end := range []func(*Link, *upstream.Lease){
 			func(_ *Link, l *upstream.Lease) { l.Discard() },
@@ -247,7 +246,7 @@
 			server := newFakeServer()
 			link, owner, _ := connect(t, server)
 			l := lease(link, "s1")
-			must.NoError(t, l.Run([]upstream.Operation{{Kind: upstream.Begin}}, soon()).Err)
+			must.NoError(t, l.Run([]upstream.Operation{{Kind: upstream.Begin}}, testDeadline()).Err)
 			end(link, l)
 			eventually(t, "the transaction stays open", func() bool {
 				kinds := server.kinds()
@@ -257,9 +256,9 @@
 	})
 }
 
-// TestEndDuringABatch ends a session while its batch runs at the owner: the batch's
-// transaction is rolled back once it is over.
-func TestEndDuringABatch(t *testing.T) {
+// TestSessionEndDuringBatch guards against a transaction that stays open because its session ended
+// while its batch was running at the owner.
+func TestSessionEndDuringBatch(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		server := newFakeServer()
 		link, owner, _ := connect(t, server)
@@ -275,62 +274,64 @@
 	})
 }
 
-// TestWhatDidNotRunIsSaidSo: for want of a slot, of the server, of a transaction.
-func TestWhatDidNotRunIsSaidSo(t *testing.T) {
+// TestRejectedOperationsAreReported guards against wrong outcomes of operations that did not run
+// because of a missing slot or an unknown server, and against rollbacks that wait for a slot.
+func TestRejectedOperationsAreReported(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		server := newFakeServer()
 		link, _, _ := connect(t, server)
 		server.full = true
-		batch := lease(link, "s1").Run([]upstream.Operation{statement("x")}, soon())
+		batch := lease(link, "s1").Run([]upstream.Operation{statement("x")}, testDeadline())
 		must.NoError(t, batch.Err)
 		must.Eq(t, upstream.Busy, batch.Last().Outcome)
 		must.SliceEmpty(t, server.kinds())
 
-		told := false
-		unknown := upstream.NewRemoteLease(link.Session("s2", upstream.Own), upstream.NewStats(), func() { told = true })
-		batch = unknown.Run([]upstream.Operation{statement("x")}, soon())
+		reported := false
+		unknown := upstream.NewRemoteLease(link.Session("s2", upstream.Own), upstream.NewStats(), func() { reported = true })
+		batch = unknown.Run([]upstream.Operation{statement("x")}, testDeadline())
 		must.NoError(t, batch.Err)
 		must.Eq(t, upstream.Unreached, batch.Last().Outcome)
-		must.True(t, told)
+		must.True(t, reported)
 
 		l := lease(link, "s1")
-		must.NoError(t, l.Run([]upstream.Operation{{Kind: upstream.Begin}}, soon()).Err)
-		batch = l.Run([]upstream.Operation{statement("x"), {Kind: upstream.Rollback}}, soon())
+		must.NoError(t, l.Run([]upstream.Operation{{Kind: upstream.Begin}}, testDeadline()).Err)
+		batch = l.Run([]upstream.Operation{statement("x"), {Kind: upstream.Rollback}}, testDeadline())
 		must.NoError(t, batch.Err)
 		must.Eq(t, upstream.Busy, batch.First().Outcome)
 		must.Eq(t, upstream.Idle, batch.Last().State, must.Sprint("the rollback needs no slot"))
 	})
 }
 
-// TestKnownToBeBehind: a read whose floor the server has just been seen to lack does not
-// take a connection, and is answered with the server's position.
-func TestKnownToBeBehind(t *testing.T) {
+// TestReadBehindMinimumPosition guards against reads that take a connection although the server is
+// known to lack their minimum position, and against answers without the server's position.
+func TestReadBehindMinimumPosition(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		server := newFakeServer()
 		server.behind = true
 		link, _, _ := connect(t, server)
 		read := statement("x")
 		read.Floor = position.Position{Term: 1, Offset: 12}
-		batch := lease(link, "s1").Run([]upstream.Operation{read}, soon())
+		batch := lease(link, "s1").Run([]upstream.Operation{read}, testDeadline())
 		must.NoError(t, batch.Err)
 		must.Eq(t, upstream.Behind, batch.Last().Outcome)
 		must.Eq(t, position.Position{Term: 1, Offset: 9}, batch.Last().Position)
 		must.SliceEmpty(t, server.kinds())
 		read.Floor = position.Position{Term: 1, Offset: 8}
-		batch = lease(link, "s1").Run([]upstream.Operation{read}, soon())
+		batch = lease(link, "s1").Run([]upstream.Operation{read}, testDeadline())
 		must.NoError(t, batch.Err)
 		must.Eq(t, upstream.Succeeded, batch.Last().Outcome)
 	})
 }
 
-// TestLostAnswerLeavesDoubt: the server's answer to a statement does not come.
-func TestLostAnswerLeavesDoubt(t *testing.T) {
+// TestLostAnswerIsInDoubt guards against a definite result, or a leaked slot, after the server's
+// answer to a statement was lost.
+func TestLostAnswerIsInDoubt(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		server := newFakeServer()
 		link, owner, _ := connect(t, server)
-		server.lose = true
+		server.loseAnswer = true
 		l := lease(link, "s1")
-		batch := l.Run([]upstream.Operation{statement("x")}, soon())
+		batch := l.Run([]upstream.Operation{statement("x")}, testDeadline())
 		must.ErrorIs(t, batch.Err, ErrInDoubt)
 		must.False(t, l.Alive())
 		must.Eq(t, 0, owner.Active())
@@ -338,20 +339,20 @@
 	})
 }
 
-// TestProofIsNeverDatedLate: what an owner knew some time ago is dated before the
-// question by at least that time.
+// TestProofIsNeverDatedLate guards against a proof dated later than the owner learned it: its age
+// has to be subtracted from the time of the request.
 func TestProofIsNeverDatedLate(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		server := newFakeServer()
-		server.proved = time.Now().Add(-300 * time.Millisecond)
-		link, _, taken := connect(t, server)
-		must.NoError(t, lease(link, "s1").Run([]upstream.Operation{statement("x")}, soon()).Err)
-		must.Len(t, 1, taken.list)
-		must.False(t, taken.list[0].After(server.proved))
+		server.provedAt = time.Now().Add(-300 * time.Millisecond)
+		link, _, observed := connect(t, server)
+		must.NoError(t, lease(link, "s1").Run([]upstream.Operation{statement("x")}, testDeadline()).Err)
+		must.Len(t, 1, observed.proofTimes)
+		must.False(t, observed.proofTimes[0].After(server.provedAt))
 	})
 }
 
-// TestSilentOwner ends a link whose other side reads and says nothing.
+// TestSilentOwner guards against a link that stays open when the owner reads but sends nothing.
 func TestSilentOwner(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		here, there := net.Pipe()
@@ -367,74 +368,74 @@
 		began := time.Now()
 		write := statement("x")
 		write.Statement.Writes = true
-		batch := lease(link, "s1").Run([]upstream.Operation{write}, soon())
+		batch := lease(link, "s1").Run([]upstream.Operation{write}, testDeadline())
 		must.ErrorIs(t, batch.Err, ErrLinkLost)
 		must.Less(t, 3*time.Second, time.Since(began))
 		must.False(t, link.Alive())
 	})
 }
 
-// TestSuspectOwner: an owner that stands still for a moment gets no new work, and
-// gets some again once it answers.
+// TestSuspectOwner guards against new work for an owner that doesn't respond, against canceling its
+// pending writes, and against avoiding it once it responds again.
 func TestSuspectOwner(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		server := newFakeServer()
 		here, there := net.Pipe()
-		stopped := serveStopped(NewOwner(server), there)
+		ownerConn := servePausable(NewOwner(server), there)
 		link := NewLink(here, func(string, time.Time, position.Position) {}, ignoreReports)
 		t.Cleanup(link.Close)
-		stopped.still.Store(true)
+		ownerConn.paused.Store(true)
 		done := make(chan upstream.Batch, 1)
 		write := statement("x")
 		write.Statement.Writes = true
-		go func() { done <- lease(link, "s1").Run([]upstream.Operation{write}, soon()) }()
+		go func() { done <- lease(link, "s1").Run([]upstream.Operation{write}, testDeadline()) }()
 		began := time.Now()
 		eventually(t, "the owner is not suspected", func() bool { return !link.Alive() })
-		must.Less(t, silenceLimit, time.Since(began))
-		stopped.resume()
+		must.Less(t, silenceTimeout, time.Since(began))
+		ownerConn.resume()
 		batch := <-done
-		must.NoError(t, batch.Err, must.Sprint("a write under way is not given up"))
+		must.NoError(t, batch.Err, must.Sprint("a pending write must not be canceled"))
 		eventually(t, "the owner stays suspected", link.Alive)
 	})
 }
 
-// TestReadsLeaveASuspectOwner: another owner can answer them; a statement of an open
-// transaction waits for its own.
+// TestReadsLeaveASuspectOwner guards against reads that wait for a suspect owner instead of using
+// another one, and against statements of an open transaction that don't wait.
 func TestReadsLeaveASuspectOwner(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		server := newFakeServer()
 		here, there := net.Pipe()
-		stopped := serveStopped(NewOwner(server), there)
+		ownerConn := servePausable(NewOwner(server), there)
 		link := NewLink(here, func(string, time.Time, position.Position) {}, ignoreReports)
 		t.Cleanup(link.Close)
 		transaction := lease(link, "s1")
-		must.NoError(t, transaction.Run([]upstream.Operation{{Kind: upstream.Begin}}, soon()).Err)
-		stopped.still.Store(true)
+		must.NoError(t, transaction.Run([]upstream.Operation{{Kind: upstream.Begin}}, testDeadline()).Err)
+		ownerConn.paused.Store(true)
 		done := make(chan upstream.Batch, 1)
-		go func() { done <- transaction.Run([]upstream.Operation{statement("x")}, soon()) }()
-		read := lease(link, "s1").Run([]upstream.Operation{statement("y")}, soon())
+		go func() { done <- transaction.Run([]upstream.Operation{statement("x")}, testDeadline()) }()
+		read := lease(link, "s1").Run([]upstream.Operation{statement("y")}, testDeadline())
 		must.ErrorIs(t, read.Err, ErrLinkLost)
 		must.False(t, link.Alive())
 		select {
 		case <-link.lost:
-			t.Fatal("the link is lost with the transaction")
+			t.Fatal("the link was lost during the transaction")
 		default:
 		}
-		stopped.resume()
+		ownerConn.resume()
 		must.NoError(t, (<-done).Err)
 	})
 }
 
-// TestSuspectOwnerIsWatchedToTheEnd: nobody waits for the owner any longer, and it
-// stays silent.
-func TestSuspectOwnerIsWatchedToTheEnd(t *testing.T) {
+// TestSuspectOwnerIsWatchedUntilLost guards against a link that stays open when its silent owner
+// has no pending requests any more.
+func TestSuspectOwnerIsWatchedUntilLost(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		here, there := net.Pipe()
-		stopped := serveStopped(NewOwner(newFakeServer()), there)
-		stopped.still.Store(true)
-		defer stopped.resume()
+		ownerConn := servePausable(NewOwner(newFakeServer()), there)
+		ownerConn.paused.Store(true)
+		defer ownerConn.resume()
 		link := NewLink(here, func(string, time.Time, position.Position) {}, ignoreReports)
-		batch := lease(link, "s1").Run([]upstream.Operation{statement("x")}, time.Now().Add(suspicionLimit+2*pingInterval))
+		batch := lease(link, "s1").Run([]upstream.Operation{statement("x")}, time.Now().Add(suspicionTimeout+2*pingInterval))
 		must.ErrorIs(t, batch.Err, ErrLinkLost)
 		select {
 		case <-link.lost:
@@ -444,18 +445,18 @@
 	})
 }
 
-// stoppedConn passes nothing in while it stands still. What is sent to it meanwhile is
-// kept, as a process that stands still is sent to.
-type stoppedConn struct {
+// pausableConn delivers no data while it is paused, and keeps the data received meanwhile, as for a
+// stopped process.
+type pausableConn struct {
 	net.Conn
-	still  atomic.Bool
+	paused atomic.Bool
 	pieces chan []byte
 	rest   []byte
 }
 
-// serveStopped serves an owner over a connection that can stand still.
-func serveStopped(owner *Owner, conn net.Conn) *stoppedConn {
-	c := &stoppedConn{Conn: conn, pieces: make(chan []byte, 1000)}
+// servePausable serves an owner over a connection that can be paused.
+func servePausable(owner *Owner, conn net.Conn) *pausableConn {
+	c := &pausableConn{Conn: conn, pieces: make(chan []byte, 1000)}
 	go func() {
 		defer close(c.pieces)
 		buffer := make([]byte, 4096)
@@ -471,7 +472,7 @@
 	return c
 }
 
-func (c *stoppedConn) Read(buffer []byte) (int, error) {
+func (c *pausableConn) Read(buffer []byte) (int, error) {
 	for len(c.rest) == 0 {
 		piece, open := <-c.pieces
 		if !open {
@@ -479,7 +480,7 @@
 		}
 		c.rest = piece
 	}
-	for c.still.Load() {
+	for c.paused.Load() {
 		time.Sleep(time.Millisecond)
 	}
 	n := copy(buffer, c.rest)
@@ -487,29 +488,31 @@
 	return n, nil
 }
 
-// resume lets what was sent in.
-func (c *stoppedConn) resume() {
-	c.still.Store(false)
+// resume delivers the data that was kept.
+func (c *pausableConn) resume() {
+	c.paused.Store(false)
 	time.Sleep(10 * time.Millisecond)
 }
 
-// TestOwnerThatLeavesGetsNoNewWork and finishes what is under way.
+// TestOwnerThatLeavesGetsNoNewWork guards against new work for an owner that is about to stop, and
+// against failures of the work in progress.
 func TestOwnerThatLeavesGetsNoNewWork(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		server := newFakeServer()
 		link, owner, _ := connect(t, server)
 		l := lease(link, "s1")
-		must.NoError(t, l.Run([]upstream.Operation{{Kind: upstream.Begin}}, soon()).Err)
+		must.NoError(t, l.Run([]upstream.Operation{{Kind: upstream.Begin}}, testDeadline()).Err)
 		owner.Leave()
-		eventually(t, "the link does not learn of it", func() bool { return !link.Alive() })
-		must.NoError(t, l.Run([]upstream.Operation{{Kind: upstream.Commit, RequestID: "x"}}, soon()).Err)
+		eventually(t, "the link does not learn that the owner leaves", func() bool { return !link.Alive() })
+		must.NoError(t, l.Run([]upstream.Operation{{Kind: upstream.Commit, RequestID: "x"}}, testDeadline()).Err)
 	})
 }
 
-// TestMeaninglessFramesHarmNobody sends garbage to an owner.
-func TestMeaninglessFramesHarmNobody(t *testing.T) {
+// TestInvalidFramesAreRejected guards against an owner that crashes or keeps sessions after invalid
+// frames.
+func TestInvalidFramesAreRejected(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
-		for _, garbage := range [][]byte{{}, {0xff, 0xff, 0xff, 0xff, 1}, make([]byte, 64), {0, 0, 0, 9, frameRun, 0, 0, 0, 0, 0, 0, 0, 1}} {
+		for _, garbage := range [][]byte{{}, {0xff, 0xff, 0xff, 0xff, 1}, make([]byte, 64), {0, 0, 0, 9, frameRequest, 0, 0, 0, 0, 0, 0, 0, 1}} {
 			must.Eq(t, 0, writeToOwner(garbage).Active())
 		}
 	})
@@ -518,12 +521,13 @@
 func FuzzRequest(f *testing.F) {
 	f.Add([]byte{0x95, 0xa1, 's', 0x90, 0x00, 0xc2, 0x94, 0, 0, 0, 0})
 	f.Fuzz(func(_ *testing.T, body []byte) {
-		frame := append([]byte{0, 0, byte((len(body) + 9) >> 8), byte(len(body) + 9), frameRun, 0, 0, 0, 0, 0, 0, 0, 1}, body...)
+		frame := append([]byte{0, 0, byte((len(body) + 9) >> 8), byte(len(body) + 9), frameRequest, 0, 0, 0, 0, 0, 0, 0, 1}, body...)
 		writeToOwner(frame)
 	})
 }
 
-// writeToOwner writes bytes to an owner and closes the connection.
+// writeToOwner writes bytes to an owner, closes the connection and waits until the owner has ended
+// the link.
 func writeToOwner(content []byte) *Owner {
 	owner := NewOwner(newFakeServer())
 	here, there := net.Pipe()
--- a/internal/proxy/remote/report_test.go
+++ b/internal/proxy/remote/report_test.go
@@ -13,60 +13,61 @@
 	"dewknot/internal/proxy/upstream"
 )
 
-// TestAnswersTellWhatWaits: each answer carries a report, refusals too, which is as old as
-// the answer and not as the question.
-func TestAnswersTellWhatWaits(t *testing.T) {
+// TestResponsesCarryLoadReports guards against responses without a load report, also those to
+// rejected operations, and against reports dated by the request instead of the response.
+func TestResponsesCarryLoadReports(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		server := newFakeServer()
-		link, _, taken := connect(t, server)
+		link, _, observed := connect(t, server)
 		server.hold = make(chan struct{})
 		time.AfterFunc(250*time.Millisecond, func() { close(server.hold) })
-		must.NoError(t, lease(link, "s1").Run([]upstream.Operation{statement("x")}, soon()).Err)
-		report, age, known := taken.view.Newest(time.Now())
+		must.NoError(t, lease(link, "s1").Run([]upstream.Operation{statement("x")}, testDeadline()).Err)
+		report, age, known := observed.view.Newest(time.Now())
 		must.True(t, known)
 		must.Eq(t, 7, report.Waiting)
 		must.Less(t, 10*time.Millisecond, age)
 		server.full = true
-		batch := lease(link, "s1").Run([]upstream.Operation{statement("x")}, soon())
+		batch := lease(link, "s1").Run([]upstream.Operation{statement("x")}, testDeadline())
 		must.Eq(t, upstream.Busy, batch.Last().Outcome)
-		report, _, _ = taken.view.Newest(time.Now())
+		report, _, _ = observed.view.Newest(time.Now())
 		must.Eq(t, 2, report.Sequence)
 	})
 }
 
-// TestAnotherProcessTellsAnew: the owner restarts, and counts its reports from the beginning.
-func TestAnotherProcessTellsAnew(t *testing.T) {
+// TestReportsOfRestartedOwner guards against ignoring a restarted owner's reports because their
+// sequence starts again.
+func TestReportsOfRestartedOwner(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		server := newFakeServer()
-		first, _, taken := connect(t, server)
+		first, _, observed := connect(t, server)
 		for range 3 {
-			must.NoError(t, lease(first, "s1").Run([]upstream.Operation{statement("x")}, soon()).Err)
+			must.NoError(t, lease(first, "s1").Run([]upstream.Operation{statement("x")}, testDeadline()).Err)
 		}
 		first.Close()
 		time.Sleep(time.Millisecond)
-		second, _, later := connect(t, newFakeServer())
-		must.NoError(t, lease(second, "s1").Run([]upstream.Operation{statement("x")}, soon()).Err)
-		restarted, _, _ := later.view.Newest(time.Now())
-		taken.view.Observe(time.Now(), &restarted)
-		report, _, _ := taken.view.Newest(time.Now())
+		second, _, observedLater := connect(t, newFakeServer())
+		must.NoError(t, lease(second, "s1").Run([]upstream.Operation{statement("x")}, testDeadline()).Err)
+		restarted, _, _ := observedLater.view.Newest(time.Now())
+		observed.view.Observe(time.Now(), &restarted)
+		report, _, _ := observed.view.Newest(time.Now())
 		must.Eq(t, 1, report.Sequence)
 	})
 }
 
-// TestSilentOwnerTellsNothing: one that said it was free and then stands still, or whose
-// answers are cut off, is not believed for longer than a report lives.
-func TestSilentOwnerTellsNothing(t *testing.T) {
+// TestReportsOfSilentOwnerExpire guards against using the reports of a silent owner for longer than
+// their maximum age.
+func TestReportsOfSilentOwnerExpire(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
-		link, _, taken := connect(t, newFakeServer())
-		must.NoError(t, lease(link, "s1").Run([]upstream.Operation{statement("x")}, soon()).Err)
+		link, _, observed := connect(t, newFakeServer())
+		must.NoError(t, lease(link, "s1").Run([]upstream.Operation{statement("x")}, testDeadline()).Err)
 		time.Sleep(told.Life)
-		_, _, known := taken.view.Newest(time.Now())
+		_, _, known := observed.view.Newest(time.Now())
 		must.False(t, known)
 	})
 }
 
-// TestReportsBetweenVersions: a node of an earlier version reads an answer that tells what
-// waits, and an answer that does not is read here.
+// TestReportsBetweenVersions guards against responses that can't be decoded between this version
+// and an earlier one without load reports.
 func TestReportsBetweenVersions(t *testing.T) {
 	type earlier struct {
 		Results  []upstream.Result
@@ -74,30 +75,30 @@
 		Proof    position.Position
 		ProofAge time.Duration
 	}
-	frame, err := codec.Append(nil, &earlier{Lost: true, ProofAge: 5})
+	earlierEncoded, err := codec.Append(nil, &earlier{Lost: true, ProofAge: 5})
 	must.NoError(t, err)
-	var now response
-	must.NoError(t, codec.Decode(frame, &now))
-	must.Eq(t, response{Lost: true, ProofAge: 5}, now)
+	var decoded response
+	must.NoError(t, codec.Decode(earlierEncoded, &decoded))
+	must.Eq(t, response{Lost: true, ProofAge: 5}, decoded)
 
-	sent := &response{Lost: true, ProofAge: 5, Load: &told.Report{Waiting: 3}}
-	encoded, err := codec.Append(nil, sent)
+	current := &response{Lost: true, ProofAge: 5, Load: &told.Report{Waiting: 3}}
+	encoded, err := codec.Append(nil, current)
 	must.NoError(t, err)
-	var then earlier
-	must.NoError(t, codec.Decode(encoded, &then))
-	must.Eq(t, earlier{Lost: true, ProofAge: 5}, then)
-	must.NoError(t, codec.Decode(encoded, &now))
-	must.Eq(t, *sent, now)
+	var decodedEarlier earlier
+	must.NoError(t, codec.Decode(encoded, &decodedEarlier))
+	must.Eq(t, earlier{Lost: true, ProofAge: 5}, decodedEarlier)
+	must.NoError(t, codec.Decode(encoded, &decoded))
+	must.Eq(t, *current, decoded)
 
-	// What a later version tells in another form counts as nothing.
-	frame, err = codec.Append(frame, "another form")
+	// A report in the unknown form of a later version is ignored.
+	earlierEncoded, err = codec.Append(earlierEncoded, "another form")
 	must.NoError(t, err)
 	var unread response
-	must.NoError(t, codec.Decode(frame, &unread))
+	must.NoError(t, codec.Decode(earlierEncoded, &unread))
 	must.Nil(t, unread.Load)
 }
 
-// BenchmarkRoundTrip runs a statement through an owner: the bytes are those of the answer.
+// BenchmarkRoundTrip runs a statement through an owner.
 func BenchmarkRoundTrip(b *testing.B) {
 	server := newFakeServer()
 	link, _, _ := connect(b, server)
