--- a/internal/proxy/tenure/keeper.go
+++ b/internal/proxy/tenure/keeper.go
@@ -59,7 +59,7 @@
 	Address string
 	// Capacity is this node's, as in Peer.
 	Capacity float64
-	// Life identifies the incarnation of the node's process.
+	// Life is unique to the node's process.
 	Life  uint64
 	Store objectstore.Store
 	// StoreEra returns the latest known era of the store.
@@ -68,11 +68,11 @@
 	Sender   Sender
 	// Peers returns the other known nodes, or nil before the first list of them is loaded.
 	Peers func() []Peer
-	// Changed is called when a service's view changes, Voiced when the records of a majority of
-	// voters become complete.
+	// Changed is called when a service's view changes.
 	Changed func(service string)
-	Voiced  func()
-	Log     *eventlog.Log
+	// Voiced is called when the records of a majority of voters become complete.
+	Voiced func()
+	Log    *eventlog.Log
 }
 
 // Keeper runs a node's part of the agreement. It is safe for concurrent use.
