--- a/internal/proxy/quota/allocator.go
+++ b/internal/proxy/quota/allocator.go
@@ -6,219 +6,222 @@
 	"time"
 )
 
-// delegationSpan is how long a delegation holds: some renewals and lost datagrams. A
-// process that starts lets its share rest as long, so it is kept short.
-const delegationSpan = 500 * time.Millisecond
+// delegationDuration is how long a delegation is valid: several renewals plus lost datagrams. A
+// restarted process also waits this long before it delegates its share.
+const delegationDuration = 500 * time.Millisecond
 
 const (
-	// youngSpan is how long after its start an allocator has less than usual, since those that
-	// have started with it let their shares rest. It is asked again after youngDry.
-	youngSpan = 1500 * time.Millisecond
-	youngDry  = 50 * time.Millisecond
+	// startupPeriod is how long after its start an allocator may have fewer shares than usual,
+	// because nodes that started with it do not delegate theirs yet. During this time the retry
+	// time of its grants is at most startupRetryAfter.
+	startupPeriod     = 1500 * time.Millisecond
+	startupRetryAfter = 50 * time.Millisecond
 )
 
-// Limits tells how a tenant's tokens are minted; false if it has no quota.
+// Limits returns the token limit of a tenant; false if the tenant has no quota.
 type Limits func(tenant string) (Limit, bool)
 
-// Allocator hands out what the shares that are delegated to it mint. It is pure, and used by one
-// goroutine at a time.
+// Allocator issues and grants the tokens of the shares that are delegated to it. It has no clock,
+// does no I/O and is not safe for concurrent use.
 type Allocator struct {
-	life    uint64
-	started time.Time
-	limits  Limits
-	leaving bool
-
-	delegations map[delegator]*delegation
-	// parts are in the order in which they were first delegated.
-	parts    []*partition
+	incarnation uint64
+	started     time.Time
+	limits      Limits
+	leaving     bool
+
+	delegations map[delegationKey]*delegation
+	// parts is in the order of first delegation.
+	parts    []*partShare
 	accounts map[string]*account
-	// expires is when the first delegation ends; zero if there is none.
-	expires time.Time
-	// held is what is held back of tenants' work, changes what began or ended of it.
-	held    map[string]*holding
-	changes []HeldBack
+	// nextExpiry is when the next delegation expires; zero if there is none.
+	nextExpiry time.Time
+	// throttled holds the tenants whose less urgent work is throttled, events the starts and ends
+	// of throttling that were not fetched yet.
+	throttled map[string]*throttling
+	events    []HeldBack
 }
 
-type delegator struct {
+type delegationKey struct {
 	node string
 	part Part
 }
 
 type delegation struct {
-	delegator
+	delegationKey
 	share float64
-	// asOf is the moment, by the allocator's clock, from which it holds for a span.
-	asOf  time.Duration
-	until time.Time
+	// echoedClock is the clock reading that the request echoed; the delegation is valid for
+	// delegationDuration from then.
+	echoedClock time.Duration
+	validUntil  time.Time
 }
 
-// partition is what is delegated of one part.
-type partition struct {
+// partShare is the total share delegated for one part.
+type partShare struct {
 	part  Part
 	share float64
-	// volume is the share summed over time, in seconds, up to a time.
-	volume float64
-	at     time.Time
+	// shareSeconds is the share integrated over time up to at, in seconds.
+	shareSeconds float64
+	at           time.Time
 }
 
-// account is a tenant's tokens.
+// account holds a tenant's tokens at an allocator.
 type account struct {
-	tokens float64
-	limit  Limit
-	// volume is that of the tenant's parts when the account was last settled.
-	volume float64
-	claims claims
+	balance float64
+	limit   Limit
+	// shareSeconds is the sum over the tenant's parts when the account was last settled.
+	shareSeconds float64
+	claims       claims
 }
 
-// NewAllocator returns an allocator without any tokens.
-func NewAllocator(life uint64, started time.Time, limits Limits) *Allocator {
+// NewAllocator returns an allocator without tokens.
+func NewAllocator(incarnation uint64, started time.Time, limits Limits) *Allocator {
 	return &Allocator{
-		life: life, started: started, limits: limits,
-		delegations: map[delegator]*delegation{}, accounts: map[string]*account{}, held: map[string]*holding{},
+		incarnation: incarnation, started: started, limits: limits,
+		delegations: map[delegationKey]*delegation{}, accounts: map[string]*account{}, throttled: map[string]*throttling{},
 	}
 }
 
-// Handle serves a request.
-func (b *Allocator) Handle(now time.Time, asked *Request) *Reply {
-	b.expire(now)
-	b.delegate(now, asked)
-	reply := &Reply{Sequence: asked.Sequence, Clock: Echo{Life: b.life, Clock: now.Sub(b.started)}, Leaving: b.leaving}
-	for i := range asked.Wants {
-		reply.Grants = append(reply.Grants, b.grant(now, &asked.Wants[i]))
+// Handle applies the delegations of a request and grants tokens for its wants.
+func (a *Allocator) Handle(now time.Time, request *Request) *Reply {
+	a.expire(now)
+	a.applyDelegations(now, request)
+	reply := &Reply{Sequence: request.Sequence, Clock: Echo{Incarnation: a.incarnation, Clock: now.Sub(a.started)}, Leaving: a.leaving}
+	for i := range request.Wants {
+		reply.Grants = append(reply.Grants, a.handleWant(now, &request.Wants[i]))
 	}
 	return reply
 }
 
-// delegate takes the delegations of a request, unless what it echoes is too old, or of
-// another process.
-func (b *Allocator) delegate(now time.Time, asked *Request) {
-	until := b.started.Add(asked.Echo.Clock + delegationSpan)
-	if asked.Echo.Life != b.life || asked.Echo.Clock > now.Sub(b.started) || !until.After(now) {
+// applyDelegations applies the delegations of a request. It ignores them if the echoed clock
+// reading is too old or belongs to another process.
+func (a *Allocator) applyDelegations(now time.Time, request *Request) {
+	validUntil := a.started.Add(request.Echo.Clock + delegationDuration)
+	if request.Echo.Incarnation != a.incarnation || request.Echo.Clock > now.Sub(a.started) || !validUntil.After(now) {
 		return
 	}
-	for _, taken := range asked.Delegations {
-		from := delegator{asked.Node, taken.Part}
-		known := b.delegations[from]
-		if known != nil && known.asOf > asked.Echo.Clock {
-			// A datagram that was overtaken.
+	for _, requested := range request.Delegations {
+		key := delegationKey{request.Node, requested.Part}
+		current := a.delegations[key]
+		if current != nil && current.echoedClock > request.Echo.Clock {
+			// A later request was handled before this one.
 			continue
 		}
-		more := taken.Share
-		if known != nil {
-			more -= known.share
+		delta := requested.Share
+		if current != nil {
+			delta -= current.share
 		}
-		b.change(now, taken.Part, more)
-		b.delegations[from] = &delegation{delegator: from, share: taken.Share, asOf: asked.Echo.Clock, until: until}
-		if b.expires.IsZero() || until.Before(b.expires) {
-			b.expires = until
+		a.adjustShare(now, requested.Part, delta)
+		a.delegations[key] = &delegation{delegationKey: key, share: requested.Share, echoedClock: request.Echo.Clock, validUntil: validUntil}
+		if a.nextExpiry.IsZero() || validUntil.Before(a.nextExpiry) {
+			a.nextExpiry = validUntil
 		}
 	}
 }
 
-// expire ends the delegations whose time is over, each at its time.
-func (b *Allocator) expire(now time.Time) {
-	if b.expires.IsZero() || b.expires.After(now) {
+// expire removes the expired delegations and ends each share at its own expiry time.
+func (a *Allocator) expire(now time.Time) {
+	if a.nextExpiry.IsZero() || a.nextExpiry.After(now) {
 		return
 	}
-	var over []*delegation
-	b.expires = time.Time{}
-	for _, d := range b.delegations {
+	var expired []*delegation
+	a.nextExpiry = time.Time{}
+	for _, d := range a.delegations {
 		switch {
-		case !d.until.After(now):
-			over = append(over, d)
-		case b.expires.IsZero() || d.until.Before(b.expires):
-			b.expires = d.until
+		case !d.validUntil.After(now):
+			expired = append(expired, d)
+		case a.nextExpiry.IsZero() || d.validUntil.Before(a.nextExpiry):
+			a.nextExpiry = d.validUntil
 		}
 	}
-	slices.SortFunc(over, func(x, y *delegation) int {
-		return cmp.Or(x.until.Compare(y.until), cmp.Compare(x.node, y.node), cmp.Compare(x.part.Index, y.part.Index))
+	slices.SortFunc(expired, func(x, y *delegation) int {
+		return cmp.Or(x.validUntil.Compare(y.validUntil), cmp.Compare(x.node, y.node), cmp.Compare(x.part.Index, y.part.Index))
 	})
-	for _, d := range over {
-		delete(b.delegations, d.delegator)
-		b.change(d.until, d.part, -d.share)
+	for _, d := range expired {
+		delete(a.delegations, d.delegationKey)
+		a.adjustShare(d.validUntil, d.part, -d.share)
 	}
-	for _, p := range b.parts {
-		if !b.delegated(p.part) {
-			// Without rounding that adds up.
+	for _, p := range a.parts {
+		if !a.isDelegated(p.part) {
+			// Clear accumulated rounding errors.
 			p.share = 0
 		}
 	}
 }
 
-func (b *Allocator) delegated(part Part) bool {
-	for from := range b.delegations {
-		if from.part == part {
+func (a *Allocator) isDelegated(part Part) bool {
+	for key := range a.delegations {
+		if key.part == part {
 			return true
 		}
 	}
 	return false
 }
 
-// change changes what is delegated of a part at a time. Where it becomes less, tokens
-// beyond the stock of what is left are dropped: a node that takes its share back begins a
-// stock elsewhere.
-func (b *Allocator) change(at time.Time, part Part, more float64) {
-	p := b.partition(at, part)
-	if more >= 0 {
+// adjustShare changes the share delegated for a part at a given time. When the share shrinks,
+// tokens beyond the maximum balance of the remaining share are dropped, because the node that
+// withdraws its share accumulates a balance at another allocator.
+func (a *Allocator) adjustShare(at time.Time, part Part, delta float64) {
+	p := a.partShare(at, part)
+	if delta >= 0 {
 		p.advance(at)
-		p.share += more
+		p.share += delta
 		return
 	}
-	b.settleAll(at, part)
+	a.settlePart(at, part)
 	p.advance(at)
-	p.share = max(0, p.share+more)
-	b.settleAll(at, part)
+	p.share = max(0, p.share+delta)
+	a.settlePart(at, part)
 }
 
-// settleAll settles the tenants of a part.
-func (b *Allocator) settleAll(at time.Time, part Part) {
-	for tenant, known := range b.accounts {
+// settlePart settles the accounts of all tenants in a part.
+func (a *Allocator) settlePart(at time.Time, part Part) {
+	for tenant, acc := range a.accounts {
 		if part.Covers(tenant) {
-			b.settle(at, tenant, known)
+			a.settle(at, tenant, acc)
 		}
 	}
 }
 
-// partition returns what is delegated of a part.
-func (b *Allocator) partition(at time.Time, part Part) *partition {
-	for _, p := range b.parts {
+// partShare returns the share delegated for a part, adding an entry if there is none.
+func (a *Allocator) partShare(at time.Time, part Part) *partShare {
+	for _, p := range a.parts {
 		if p.part == part {
 			return p
 		}
 	}
-	p := &partition{part: part, at: at}
-	b.parts = append(b.parts, p)
+	p := &partShare{part: part, at: at}
+	a.parts = append(a.parts, p)
 	return p
 }
 
-// advance sums the share up to a time.
-func (p *partition) advance(now time.Time) {
+// advance updates shareSeconds to the given time.
+func (p *partShare) advance(now time.Time) {
 	if now.After(p.at) {
-		p.volume += p.share * now.Sub(p.at).Seconds()
+		p.shareSeconds += p.share * now.Sub(p.at).Seconds()
 		p.at = now
 	}
 }
 
-// settle mints a tenant's tokens up to a time and returns the share that mints them.
-func (b *Allocator) settle(now time.Time, tenant string, a *account) float64 {
-	volume, share := 0.0, 0.0
-	for _, p := range b.parts {
+// settle issues a tenant's tokens up to the given time and returns the share that issues them.
+func (a *Allocator) settle(now time.Time, tenant string, acc *account) float64 {
+	shareSeconds, share := 0.0, 0.0
+	for _, p := range a.parts {
 		if p.part.Covers(tenant) {
 			p.advance(now)
-			volume += p.volume
+			shareSeconds += p.shareSeconds
 			share += p.share
 		}
 	}
-	a.tokens = min(a.tokens+a.limit.Rate*(volume-a.volume), a.limit.Stock*share)
-	a.volume = volume
+	acc.balance = min(acc.balance+acc.limit.Rate*(shareSeconds-acc.shareSeconds), acc.limit.MaxBalance*share)
+	acc.shareSeconds = shareSeconds
 	return share
 }
 
-// Forget drops the accounts of tenants that have no quota any more.
-func (b *Allocator) Forget() {
-	for tenant := range b.accounts {
-		if _, limited := b.limits(tenant); !limited {
-			delete(b.accounts, tenant)
+// RemoveUnlimited removes the accounts of tenants that no longer have a quota.
+func (a *Allocator) RemoveUnlimited() {
+	for tenant := range a.accounts {
+		if _, limited := a.limits(tenant); !limited {
+			delete(a.accounts, tenant)
 		}
 	}
 }
--- a/internal/proxy/quota/exchange.go
+++ b/internal/proxy/quota/exchange.go
@@ -6,229 +6,231 @@
 	"dewknot/internal/proxy/urgency"
 )
 
-// correspondent is another node as an allocator.
-type correspondent struct {
+// peer is the state of the exchange with an allocator.
+type peer struct {
 	address string
 	echo    Echo
-	// heard is when it last answered, sent when it was last asked.
-	heard time.Time
-	sent  time.Time
-	// awaited is the sequence of the request that it has not answered yet; 0 if none.
-	awaited uint64
-	// wanted are the tenants of that request, queued those to ask for next.
-	wanted []string
-	queued []string
-	missed int
-	// silent is set once it has missed too many, or has said that its process ends; it is
-	// looked at again at retryAt.
-	silent  bool
-	retryAt time.Time
-	backoff time.Duration
+	// lastReply and lastRequest are the times of the last reply and the last request.
+	lastReply   time.Time
+	lastRequest time.Time
+	// pendingSequence is the sequence number of the unanswered request; 0 if there is none.
+	pendingSequence uint64
+	// requested holds the tenants of the unanswered request, queued those of the next one.
+	requested []string
+	queued    []string
+	missed    int
+	// unavailable is set after too many missed replies, or if the allocator has announced that
+	// its process ends. It is asked again at retryAt.
+	unavailable bool
+	retryAt     time.Time
+	backoff     time.Duration
 }
 
-// Envelope is a message to the node at an address.
+// Envelope is a message with the address of its receiver.
 type Envelope struct {
 	To      string
 	Message Message
 }
 
-// ask asks for the tokens of a tenant that are lacking: the first allocator that may have some
-// for the most urgent operations that wait, or the first of all if none waits.
-func (m *Machine) ask(now time.Time, tenant string, w *balance) {
-	address, found := m.toAsk(now, tenant, w)
+// requestTokens requests the missing tokens of a tenant. It asks the first allocator that may
+// have some for the most urgent waiting operations, or the first one of all if none waits.
+func (m *Machine) requestTokens(now time.Time, tenant string, t *tenantTokens) {
+	address, found := m.chooseAllocator(now, tenant, t)
 	if !found {
 		return
 	}
-	w.asked = address
-	c := m.correspondent(address)
-	c.queued = append(c.queued, tenant)
-	if c.awaited == 0 {
-		m.request(now, c)
+	t.pendingAllocator = address
+	p := m.peer(address)
+	p.queued = append(p.queued, tenant)
+	if p.pendingSequence == 0 {
+		m.sendRequest(now, p)
 	}
 }
 
-func (m *Machine) toAsk(now time.Time, tenant string, w *balance) (string, bool) {
-	lack := w.lack(now)
-	if lack == (Needs{}) {
-		return m.allocatorFor(now, tenant, w, int(urgency.Least))
+func (m *Machine) chooseAllocator(now time.Time, tenant string, t *tenantTokens) (string, bool) {
+	shortage := t.shortage(now)
+	if shortage == (LevelCounts{}) {
+		return m.allocatorFor(now, tenant, t, int(urgency.Least))
 	}
-	for level, count := range lack {
+	for level, count := range shortage {
 		if count == 0 {
 			continue
 		}
-		if address, found := m.allocatorFor(now, tenant, w, level); found {
+		if address, found := m.allocatorFor(now, tenant, t, level); found {
 			return address, true
 		}
 	}
 	return "", false
 }
 
-// allocatorFor returns the allocator to ask for tokens of a tenant for a level: that of the
-// node's own region, or one of another region if that has none.
-func (m *Machine) allocatorFor(now time.Time, tenant string, w *balance, level int) (string, bool) {
+// allocatorFor returns the allocator to ask for a tenant's tokens for a level: that of the node's
+// region, or if that has none, one of another region.
+func (m *Machine) allocatorFor(now time.Time, tenant string, t *tenantTokens, level int) (string, bool) {
 	for region := range m.fleet.regions {
-		address, found := m.present(region, tenant)
-		if found && !w.isDry(address, level, now) {
+		address, found := m.availableAllocator(region, tenant)
+		if found && !t.isExhausted(address, level, now) {
 			return address, true
 		}
 	}
 	return "", false
 }
 
-// present returns the allocator of a region for a tenant's part: the first that answers.
-func (m *Machine) present(region Region, tenant string) (string, bool) {
+// availableAllocator returns the first available allocator of a tenant's part in a region.
+func (m *Machine) availableAllocator(region Region, tenant string) (string, bool) {
 	if len(region.Allocators) == 0 {
 		return "", false
 	}
-	return m.firstAnswering(region.Allocators[PartOf(tenant, len(region.Allocators)).Index])
+	return m.firstAvailable(region.Allocators[PartOf(tenant, len(region.Allocators)).Index])
 }
 
-func (m *Machine) firstAnswering(addresses []string) (string, bool) {
+func (m *Machine) firstAvailable(addresses []string) (string, bool) {
 	for _, address := range addresses {
-		if c := m.allocators[address]; c == nil || !c.silent {
+		if p := m.allocators[address]; p == nil || !p.unavailable {
 			return address, true
 		}
 	}
 	return "", false
 }
 
-func (m *Machine) correspondent(address string) *correspondent {
-	c := m.allocators[address]
-	if c == nil {
-		c = &correspondent{address: address}
-		m.allocators[address] = c
-		m.order = append(m.order, address)
+func (m *Machine) peer(address string) *peer {
+	p := m.allocators[address]
+	if p == nil {
+		p = &peer{address: address}
+		m.allocators[address] = p
+		m.allocatorOrder = append(m.allocatorOrder, address)
 	}
-	return c
+	return p
 }
 
-// request sends an allocator what is to be told and asked.
-func (m *Machine) request(now time.Time, c *correspondent) {
+// sendRequest sends an allocator the delegations and the queued wants.
+func (m *Machine) sendRequest(now time.Time, p *peer) {
 	m.sequence++
-	asked := &Request{Node: m.cfg.Node, Sequence: m.sequence, Echo: c.echo, Delegations: m.promise(now, c)}
-	c.wanted, c.queued = c.queued, nil
-	if len(c.wanted) > maxWants {
-		c.wanted, c.queued = c.wanted[:maxWants], c.wanted[maxWants:]
-	}
-	for _, tenant := range c.wanted {
-		if w := m.balances[tenant]; w != nil {
-			asked.Wants = append(asked.Wants, m.want(now, tenant, w, c.address))
+	request := &Request{Node: m.cfg.Node, Sequence: m.sequence, Echo: p.echo, Delegations: m.delegationsTo(now, p)}
+	p.requested, p.queued = p.queued, nil
+	if len(p.requested) > maxWants {
+		p.requested, p.queued = p.requested[:maxWants], p.requested[maxWants:]
+	}
+	for _, tenant := range p.requested {
+		if t := m.tenants[tenant]; t != nil {
+			request.Wants = append(request.Wants, m.buildWant(now, tenant, t, p.address))
 		}
 	}
-	c.awaited, c.sent = m.sequence, now
-	m.out = append(m.out, Envelope{To: c.address, Message: Message{Request: asked}})
+	p.pendingSequence, p.lastRequest = m.sequence, now
+	m.out = append(m.out, Envelope{To: p.address, Message: Message{Request: request}})
 }
 
-// want returns what to ask an allocator for: what is lacking at the levels for which it may
-// have some.
-func (m *Machine) want(now time.Time, tenant string, w *balance, allocator string) Want {
+// buildWant returns the want for a tenant: the shortage at the levels for which the allocator may
+// have tokens.
+func (m *Machine) buildWant(now time.Time, tenant string, t *tenantTokens, allocator string) Want {
 	limit, _ := m.cfg.Limits(tenant)
-	needs := w.lack(now)
+	needs := t.shortage(now)
 	for level := range needs {
-		if w.isDry(allocator, level, now) {
+		if t.isExhausted(allocator, level, now) {
 			needs[level] = 0
 		}
 		needs[level] = min(needs[level], maxCount/urgency.Levels)
 	}
-	w.wanted = needs
-	return Want{Tenant: tenant, Need: needs.sum(), More: min(w.pace.ahead(now, limit.Life), maxCount), Levels: needs.told()}
+	t.requested = needs
+	return Want{Tenant: tenant, Need: needs.sum(), Prefetch: min(t.demand.expected(now, limit.TTL), maxCount), Levels: needs.encode()}
 }
 
-// answered takes an allocator's answer. One that comes late, or again, brings nothing.
-func (m *Machine) answered(now time.Time, from string, reply *Reply) {
-	c := m.allocators[from]
-	if c == nil || reply.Sequence != c.awaited {
+// handleReply handles an allocator's reply. Late and repeated replies are ignored.
+func (m *Machine) handleReply(now time.Time, from string, reply *Reply) {
+	p := m.allocators[from]
+	if p == nil || reply.Sequence != p.pendingSequence {
 		return
 	}
-	fresh := c.echo.Life != reply.Clock.Life || now.Sub(c.heard) >= delegationSpan/2
-	c.echo, c.heard = reply.Clock, now
-	c.awaited, c.missed, c.silent, c.backoff = 0, 0, reply.Leaving, 0
+	fresh := p.echo.Incarnation != reply.Clock.Incarnation || now.Sub(p.lastReply) >= delegationDuration/2
+	p.echo, p.lastReply = reply.Clock, now
+	p.pendingSequence, p.missed, p.unavailable, p.backoff = 0, 0, reply.Leaving, 0
 	if reply.Leaving {
-		c.retryAt = now.Add(firstRetry)
+		p.retryAt = now.Add(minBackoff)
 	}
-	wanted := c.wanted
-	c.wanted = nil
+	requested := p.requested
+	p.requested = nil
 	for i := range reply.Grants {
-		m.granted(now, c, &reply.Grants[i])
+		m.applyGrant(now, p, &reply.Grants[i])
 	}
-	for _, tenant := range wanted {
-		m.settled(now, tenant, c)
+	for _, tenant := range requested {
+		m.requestRemaining(now, tenant, p)
 	}
-	if c.awaited == 0 && (len(c.queued) > 0 || fresh && m.isHome(c.address)) {
-		m.request(now, c)
+	if p.pendingSequence == 0 && (len(p.queued) > 0 || fresh && m.isHomeAllocator(p.address)) {
+		m.sendRequest(now, p)
 	}
 }
 
-// granted takes tokens, which are good from when they were asked for.
-func (m *Machine) granted(now time.Time, c *correspondent, granted *Grant) {
-	w := m.balances[granted.Tenant]
-	if w == nil {
+// applyGrant stores granted tokens. Their lifetime starts with the request.
+func (m *Machine) applyGrant(now time.Time, p *peer, grant *Grant) {
+	t := m.tenants[grant.Tenant]
+	if t == nil {
 		return
 	}
-	levels := needsOf(granted.Levels)
-	if until := c.sent.Add(granted.Life); until.After(now) {
-		w.add(granted.Count, &levels, now, until)
+	levels := decodeLevels(grant.Levels)
+	if until := p.lastRequest.Add(grant.TTL); until.After(now) {
+		t.add(grant.Count, &levels, now, until)
 	}
-	// The allocator counts from a moment between the question and its answer.
-	for i := range min(granted.Later, maxWants) {
-		delay := granted.First + time.Duration(i)*granted.Pace
-		w.add(1, &levels, now.Add(delay), c.sent.Add(delay+granted.Life))
+	// The allocator's delays start at some time between the request and the reply. Count the
+	// start of validity from the reply and the expiry from the request, which is safe in both
+	// cases.
+	for i := range min(grant.Future, maxWants) {
+		delay := grant.FirstDelay + time.Duration(i)*grant.Interval
+		t.add(1, &levels, now.Add(delay), p.lastRequest.Add(delay+grant.TTL))
 	}
-	w.young = granted.Young
-	if granted.Dry <= 0 {
+	t.starting = grant.Starting
+	if grant.RetryAfter <= 0 {
 		return
 	}
-	w.aheadFrom = now.Add(min(granted.Dry, mostDry))
-	for level, wanted := range w.wanted {
-		dry := granted.Dry
-		if len(granted.LevelsDry) == urgency.Levels {
-			dry = granted.LevelsDry[level]
+	t.nextPrefetch = now.Add(min(grant.RetryAfter, maxRetryAfter))
+	for level, requested := range t.requested {
+		retryAfter := grant.RetryAfter
+		if len(grant.LevelsRetryAfter) == urgency.Levels {
+			retryAfter = grant.LevelsRetryAfter[level]
 		}
-		if wanted > 0 && dry > 0 {
-			w.setDry(c.address, level, now.Add(min(dry, mostDry)))
+		if requested > 0 && retryAfter > 0 {
+			t.setExhausted(p.address, level, now.Add(min(retryAfter, maxRetryAfter)))
 		}
 	}
 }
 
-// add adds tokens, and takes them off what each level is still to be given of a grant.
-func (w *balance) add(count uint32, levels *Needs, from, until time.Time) {
+// add stores tokens and deducts them from what each level is still to get of a grant.
+func (t *tenantTokens) add(count uint32, levels *LevelCounts, validFrom, validUntil time.Time) {
 	for level := range levels {
-		given := min(count, levels[level])
-		levels[level] -= given
-		count -= given
-		if given > 0 {
-			w.lots = append(w.lots, lot{count: given, level: level, from: from, until: until})
+		taken := min(count, levels[level])
+		levels[level] -= taken
+		count -= taken
+		if taken > 0 {
+			t.batches = append(t.batches, tokenBatch{count: taken, level: level, validFrom: validFrom, validUntil: validUntil})
 		}
 	}
 	if count > 0 {
-		w.lots = append(w.lots, lot{count: count, level: anybody, from: from, until: until})
+		t.batches = append(t.batches, tokenBatch{count: count, level: anyLevel, validFrom: validFrom, validUntil: validUntil})
 	}
 }
 
-// settled goes on to the next allocator if operations still wait for tokens of a tenant.
-func (m *Machine) settled(now time.Time, tenant string, c *correspondent) {
-	w := m.balances[tenant]
-	if w == nil || w.asked != c.address {
+// requestRemaining asks the next allocator if operations of a tenant still wait for tokens.
+func (m *Machine) requestRemaining(now time.Time, tenant string, p *peer) {
+	t := m.tenants[tenant]
+	if t == nil || t.pendingAllocator != p.address {
 		return
 	}
-	w.asked = ""
-	if w.lack(now) != (Needs{}) {
-		m.ask(now, tenant, w)
+	t.pendingAllocator = ""
+	if t.shortage(now) != (LevelCounts{}) {
+		m.requestTokens(now, tenant, t)
 	}
 }
 
-// miss takes note that an allocator has not answered. What was asked of it is asked again, of
-// another one if it counts as silent.
-func (m *Machine) miss(now time.Time, c *correspondent) {
-	wanted := append(c.wanted, c.queued...)
-	c.awaited, c.wanted, c.queued = 0, nil, nil
-	c.missed++
-	if c.missed >= missesToSilent || c.silent {
-		c.silent = true
-		c.backoff = min(max(2*c.backoff, firstRetry), lastRetry)
-		c.retryAt = now.Add(c.backoff)
-	}
-	for _, tenant := range wanted {
-		m.settled(now, tenant, c)
+// recordMiss records that an allocator has not replied. Its wants are requested again, from
+// another allocator if it counts as unavailable.
+func (m *Machine) recordMiss(now time.Time, p *peer) {
+	requested := append(p.requested, p.queued...)
+	p.pendingSequence, p.requested, p.queued = 0, nil, nil
+	p.missed++
+	if p.missed >= maxMissedReplies || p.unavailable {
+		p.unavailable = true
+		p.backoff = min(max(2*p.backoff, minBackoff), maxBackoff)
+		p.retryAt = now.Add(p.backoff)
+	}
+	for _, tenant := range requested {
+		m.requestRemaining(now, tenant, p)
 	}
 }
--- a/internal/proxy/quota/extension.go
+++ b/internal/proxy/quota/extension.go
@@ -2,53 +2,53 @@
 
 import "time"
 
-// extension is what messages tell of levels: nodes of the version before read the message
-// without it. Each list is in the order of the message's wants or grants.
+// extension holds the levels of a message; nodes of the previous version do not read it. Each
+// list is in the order of the message's wants or grants.
 type extension struct {
-	Wants  [][]uint32
-	Grants [][]uint32
-	Dry    [][]time.Duration
+	Wants      [][]uint32
+	Grants     [][]uint32
+	RetryAfter [][]time.Duration
 }
 
 // Extension implements codec.Extended.
 func (m *Message) Extension() any {
-	var told extension
-	levelled := false
+	var ext extension
+	hasLevels := false
 	if m.Request != nil {
 		for i := range m.Request.Wants {
 			levels := m.Request.Wants[i].Levels
-			levelled = levelled || len(levels) > 0
-			told.Wants = append(told.Wants, levels)
+			hasLevels = hasLevels || len(levels) > 0
+			ext.Wants = append(ext.Wants, levels)
 		}
 	}
 	if m.Reply != nil {
 		for i := range m.Reply.Grants {
-			granted := &m.Reply.Grants[i]
-			levelled = levelled || len(granted.Levels) > 0 || len(granted.LevelsDry) > 0
-			told.Grants = append(told.Grants, granted.Levels)
-			told.Dry = append(told.Dry, granted.LevelsDry)
+			grant := &m.Reply.Grants[i]
+			hasLevels = hasLevels || len(grant.Levels) > 0 || len(grant.LevelsRetryAfter) > 0
+			ext.Grants = append(ext.Grants, grant.Levels)
+			ext.RetryAfter = append(ext.RetryAfter, grant.LevelsRetryAfter)
 		}
 	}
-	if !levelled {
+	if !hasLevels {
 		return nil
 	}
-	return &told
+	return &ext
 }
 
 // Extend implements codec.Extended.
 func (m *Message) Extend(decode func(extension any) error) error {
-	var told extension
-	if err := decode(&told); err != nil {
+	var ext extension
+	if err := decode(&ext); err != nil {
 		return err
 	}
 	if m.Request != nil {
-		for i := range min(len(m.Request.Wants), len(told.Wants)) {
-			m.Request.Wants[i].Levels = told.Wants[i]
+		for i := range min(len(m.Request.Wants), len(ext.Wants)) {
+			m.Request.Wants[i].Levels = ext.Wants[i]
 		}
 	}
 	if m.Reply != nil {
-		for i := range min(len(m.Reply.Grants), len(told.Grants), len(told.Dry)) {
-			m.Reply.Grants[i].Levels, m.Reply.Grants[i].LevelsDry = told.Grants[i], told.Dry[i]
+		for i := range min(len(m.Reply.Grants), len(ext.Grants), len(ext.RetryAfter)) {
+			m.Reply.Grants[i].Levels, m.Reply.Grants[i].LevelsRetryAfter = ext.Grants[i], ext.RetryAfter[i]
 		}
 	}
 	return nil
--- a/internal/proxy/quota/grant.go
+++ b/internal/proxy/quota/grant.go
@@ -7,152 +7,151 @@
 )
 
 const (
-	// aheadShare is the part of its stock that an allocator keeps for operations that wait:
-	// tokens ahead of need are handed out beyond it only.
-	aheadShare = 0.5
-	// leastDry and mostDry bound the time after which an allocator that has no token is asked
-	// again.
-	leastDry = 10 * time.Millisecond
-	mostDry  = time.Second
-	// mostDelay bounds how long tokens that are still to be minted are waited for: with the
-	// statement itself it is within a usual objective. It takes the place of a refusal
-	// after a loss of all nodes, when no allocator has any tokens: 8.1% of a day with two such
-	// losses are refused in place of 10.5% (one play, 59 nodes, 72 tenants).
-	mostDelay = 400 * time.Millisecond
+	// prefetchReserve is the part of the maximum balance that is kept for waiting operations.
+	// Tokens are granted ahead of need only from the balance above it.
+	prefetchReserve = 0.5
+	// minRetryAfter and maxRetryAfter bound the time after which an allocator without tokens is
+	// asked again.
+	minRetryAfter = 10 * time.Millisecond
+	maxRetryAfter = time.Second
+	// maxFutureDelay bounds how long an operation waits for tokens that are still to be issued.
+	// Together with the statement itself it is within a usual latency objective. Waiting avoids
+	// rejections after a restart of all nodes, when no allocator has tokens.
+	maxFutureDelay = 400 * time.Millisecond
 )
 
-// grant hands out tokens of a tenant.
-func (b *Allocator) grant(now time.Time, want *Want) Grant {
-	limit, limited := b.limits(want.Tenant)
+// handleWant grants tokens of a tenant.
+func (a *Allocator) handleWant(now time.Time, want *Want) Grant {
+	limit, limited := a.limits(want.Tenant)
 	if !limited {
-		// A configuration that the asker does not know has lifted the quota, or this node
-		// does not know of the tenant yet.
-		return Grant{Tenant: want.Tenant, Dry: mostDry}
-	}
-	a := b.accounts[want.Tenant]
-	if a == nil {
-		a = &account{limit: limit}
-		b.accounts[want.Tenant] = a
-	}
-	share := b.settle(now, want.Tenant, a)
-	if a.limit != limit {
-		a.limit = limit
-		a.tokens = min(a.tokens, limit.Stock*share)
-	}
-	granted := Grant{Tenant: want.Tenant, Life: limit.Life}
-	b.share(now, a, want, share, &granted)
-	return granted
+		// The requester does not know yet that the quota was removed, or this node does not know
+		// the tenant yet.
+		return Grant{Tenant: want.Tenant, RetryAfter: maxRetryAfter}
+	}
+	acc := a.accounts[want.Tenant]
+	if acc == nil {
+		acc = &account{limit: limit}
+		a.accounts[want.Tenant] = acc
+	}
+	share := a.settle(now, want.Tenant, acc)
+	if acc.limit != limit {
+		acc.limit = limit
+		acc.balance = min(acc.balance, limit.MaxBalance*share)
+	}
+	grant := Grant{Tenant: want.Tenant, TTL: limit.TTL}
+	a.distribute(now, acc, want, share, &grant)
+	return grant
 }
 
-// share hands a tenant's tokens out to the levels of a want, the most urgent first.
-func (b *Allocator) share(now time.Time, a *account, want *Want, share float64, granted *Grant) {
-	needs, known := a.claims.levels(now, want)
-	a.claims.ask(now, &needs, known, b.supply(now, a, want.Tenant, share))
-	var given Needs
+// distribute grants a tenant's tokens to the levels of a want, the most urgent first.
+func (a *Allocator) distribute(now time.Time, acc *account, want *Want, share float64, grant *Grant) {
+	needs, known := acc.claims.needsByLevel(now, want)
+	acc.claims.recordDemand(now, &needs, known, a.supply(now, acc, want.Tenant, share))
+	var granted LevelCounts
 	for level, need := range needs {
-		given[level] = b.grantLevel(now, a, level, need, share, granted)
+		granted[level] = a.grantLevel(now, acc, level, need, share, grant)
 	}
-	missing := given.sum() < want.Need
+	missing := granted.sum() < want.Need
 	if !missing {
-		b.grantMore(now, a, want, share, granted)
+		a.grantPrefetch(now, acc, want, share, grant)
 	}
 	if len(want.Levels) > 0 {
-		granted.Levels = given.told()
+		grant.Levels = granted.encode()
 	}
-	if missing || whole(a.tokens) == 0 && want.Need == 0 {
-		b.refuse(now, a, want, &needs, &given, share, granted)
+	if missing || wholeTokens(acc.balance) == 0 && want.Need == 0 {
+		a.setRetryTimes(now, acc, want, &needs, &granted, share, grant)
 	}
 }
 
-// refuse tells when the levels that were not given what they need may have a token, or
-// tokens may be asked for ahead again.
-func (b *Allocator) refuse(now time.Time, a *account, want *Want, needs, given *Needs, share float64, granted *Grant) {
-	s := b.supply(now, a, want.Tenant, share)
-	granted.Young = now.Sub(b.started) < youngSpan
-	granted.Dry = b.dry(now, a, int(urgency.Least), s)
-	dry := make([]time.Duration, urgency.Levels)
+// setRetryTimes sets when levels that got less than they need may get a token, or when tokens may
+// be requested ahead of need again.
+func (a *Allocator) setRetryTimes(now time.Time, acc *account, want *Want, needs, granted *LevelCounts, share float64, grant *Grant) {
+	s := a.supply(now, acc, want.Tenant, share)
+	grant.Starting = now.Sub(a.started) < startupPeriod
+	grant.RetryAfter = a.retryAfter(now, acc, int(urgency.Least), s)
+	retryAfter := make([]time.Duration, urgency.Levels)
 	for level := urgency.Levels - 1; level >= 0; level-- {
-		if given[level] == needs[level] {
+		if granted[level] == needs[level] {
 			continue
 		}
-		if a.claims.moreUrgent(now, level, s) > 0 {
-			b.holdBack(now, want.Tenant, a, level, needs[level]-given[level], s)
+		if acc.claims.moreUrgentDemand(now, level, s) > 0 {
+			a.recordThrottling(now, want.Tenant, acc, level, needs[level]-granted[level], s)
 		}
-		dry[level] = b.dry(now, a, level, s)
-		granted.Dry = dry[level]
+		retryAfter[level] = a.retryAfter(now, acc, level, s)
+		grant.RetryAfter = retryAfter[level]
 	}
 	if len(want.Levels) > 0 {
-		granted.LevelsDry = dry
+		grant.LevelsRetryAfter = retryAfter
 	}
 }
 
-func (b *Allocator) supply(now time.Time, a *account, tenant string, share float64) supply {
+func (a *Allocator) supply(now time.Time, acc *account, tenant string, share float64) supply {
 	return supply{
-		tokens: a.tokens, sure: a.tokens + a.limit.Rate*b.ahead(now, tenant),
-		pace: a.limit.Rate * share, stock: a.limit.Stock * share,
+		balance: acc.balance, assured: acc.balance + acc.limit.Rate*a.futureShareSeconds(now, tenant),
+		rate: acc.limit.Rate * share, maxBalance: acc.limit.MaxBalance * share,
 	}
 }
 
-// grantLevel hands out what a level needs and may have: tokens on hand, and once there are
-// none, those that the present delegations are sure to mint soon: until a delegation ends,
-// its share mints here and nowhere else.
-func (b *Allocator) grantLevel(now time.Time, a *account, level int, need uint32, share float64, granted *Grant) uint32 {
+// grantLevel grants what a level needs and may take: tokens of the balance first, and then tokens
+// that the present delegations are certain to issue soon. Until a delegation expires, its share
+// issues tokens only here.
+func (a *Allocator) grantLevel(now time.Time, acc *account, level int, need uint32, share float64, grant *Grant) uint32 {
 	if need == 0 {
 		return 0
 	}
-	count := min(need, a.claims.atOnce(now, level, b.supply(now, a, granted.Tenant, share)))
-	a.tokens -= float64(count)
-	a.claims.take(level, count)
-	granted.Count += count
-	s := b.supply(now, a, granted.Tenant, share)
-	if count == need || whole(s.tokens) > 0 || s.pace <= 0 {
+	count := min(need, acc.claims.availableNow(now, level, a.supply(now, acc, grant.Tenant, share)))
+	acc.balance -= float64(count)
+	acc.claims.recordGrant(level, count)
+	grant.Count += count
+	s := a.supply(now, acc, grant.Tenant, share)
+	if count == need || wholeTokens(s.balance) > 0 || s.rate <= 0 {
 		return count
 	}
-	later := min(need-count, a.claims.ahead(now, level, s))
-	if later == 0 {
+	future := min(need-count, acc.claims.availableFuture(now, level, s))
+	if future == 0 {
 		return count
 	}
-	if granted.Later == 0 {
-		granted.First = max(0, time.Duration((1-s.tokens)/s.pace*float64(time.Second)))
-		granted.Pace = time.Duration(float64(time.Second) / s.pace)
+	if grant.Future == 0 {
+		grant.FirstDelay = max(0, time.Duration((1-s.balance)/s.rate*float64(time.Second)))
+		grant.Interval = time.Duration(float64(time.Second) / s.rate)
 	}
-	a.tokens -= float64(later)
-	a.claims.take(level, later)
-	granted.Later += later
-	return count + later
+	acc.balance -= float64(future)
+	acc.claims.recordGrant(level, future)
+	grant.Future += future
+	return count + future
 }
 
-// grantMore hands out tokens ahead of need, of what is neither kept for operations that wait
-// nor for more urgent work.
-func (b *Allocator) grantMore(now time.Time, a *account, want *Want, share float64, granted *Grant) {
-	s := b.supply(now, a, want.Tenant, share)
-	kept := max(aheadShare*s.stock, a.claims.reserve(now, int(urgency.Least), s))
-	more := min(want.More, whole(s.tokens-kept))
-	a.tokens -= float64(more)
-	granted.Count += more
+// grantPrefetch grants tokens ahead of need from the part of the balance that is kept neither for
+// waiting operations nor for more urgent work.
+func (a *Allocator) grantPrefetch(now time.Time, acc *account, want *Want, share float64, grant *Grant) {
+	s := a.supply(now, acc, want.Tenant, share)
+	reserved := max(prefetchReserve*s.maxBalance, acc.claims.reserve(now, int(urgency.Least), s))
+	count := min(want.Prefetch, wholeTokens(s.balance-reserved))
+	acc.balance -= float64(count)
+	grant.Count += count
 }
 
-// ahead returns the share of a tenant's part that is delegated, summed over the time until
-// each delegation ends, in seconds.
-func (b *Allocator) ahead(now time.Time, tenant string) float64 {
-	volume := 0.0
-	for _, d := range b.delegations {
+// futureShareSeconds returns the delegated share of a tenant's part, integrated until each
+// delegation expires but at most over maxFutureDelay, in seconds.
+func (a *Allocator) futureShareSeconds(now time.Time, tenant string) float64 {
+	shareSeconds := 0.0
+	for _, d := range a.delegations {
 		if d.part.Covers(tenant) {
-			volume += d.share * min(d.until.Sub(now), mostDelay).Seconds()
+			shareSeconds += d.share * min(d.validUntil.Sub(now), maxFutureDelay).Seconds()
 		}
 	}
-	return volume
+	return shareSeconds
 }
 
-// dry returns the time after which a level has a chance of a token.
-func (b *Allocator) dry(now time.Time, a *account, level int, s supply) time.Duration {
-	wait, known := a.claims.next(now, level, s)
+// retryAfter returns the time after which a level may get a token.
+func (a *Allocator) retryAfter(now time.Time, acc *account, level int, s supply) time.Duration {
+	wait, known := acc.claims.timeToToken(now, level, s)
 	if !known {
-		wait = mostDry
+		wait = maxRetryAfter
 	}
-	wait = min(max(wait, leastDry), mostDry)
-	if now.Sub(b.started) < youngSpan {
-		wait = min(wait, youngDry)
+	wait = min(max(wait, minRetryAfter), maxRetryAfter)
+	if now.Sub(a.started) < startupPeriod {
+		wait = min(wait, startupRetryAfter)
 	}
 	return wait
 }
--- a/internal/proxy/quota/keeper.go
+++ b/internal/proxy/quota/keeper.go
@@ -7,7 +7,7 @@
 	"dewknot/internal/proxy/urgency"
 )
 
-// Sender sends messages to other nodes; they may get lost.
+// Sender sends messages to other nodes. Messages may get lost.
 type Sender interface {
 	// SendTokens sends a message to the node at an address.
 	SendTokens(address string, m *Message)
@@ -21,82 +21,82 @@
 
 	mu      sync.Mutex
 	machine *Machine
-	// waiting holds the channels that are closed when operations that wait for a token
-	// should ask again.
-	waiting map[waiters]chan struct{}
+	// waiting holds the channels that are closed when waiting operations should try again.
+	waiting map[waiterKey]chan struct{}
 }
 
-// waiters are the operations of a tenant and a level.
-type waiters struct {
+// waiterKey identifies the waiting operations of a tenant and level.
+type waiterKey struct {
 	tenant string
 	level  urgency.Level
 }
 
-// NewKeeper returns a keeper of a node without a share.
+// NewKeeper returns a Keeper of a node that has no share yet.
 func NewKeeper(cfg Config, sender Sender) *Keeper {
-	return &Keeper{address: cfg.Address, sender: sender, notify: cfg.OnHeldBack, machine: NewMachine(cfg), waiting: map[waiters]chan struct{}{}}
+	return &Keeper{address: cfg.Address, sender: sender, notify: cfg.OnHeldBack, machine: NewMachine(cfg), waiting: map[waiterKey]chan struct{}{}}
 }
 
-// Token is what an operation takes, to be put back if it did not run.
+// Token is a token of an operation. It is refunded if the operation does not run.
 type Token struct {
-	tenant      string
-	level       urgency.Level
-	from, until time.Time
+	tenant                string
+	level                 urgency.Level
+	validFrom, validUntil time.Time
 }
 
-// Take takes a token for an operation of a tenant and a level, waiting for one until a deadline. If
-// there is none, it returns when to come back.
-func (k *Keeper) Take(tenant string, level urgency.Level, deadline time.Time) (token Token, after time.Duration, granted bool) {
-	waits := false
+// Take takes a token for an operation of a tenant and level and waits for one until the deadline.
+// If it gets none, it returns the time after which to retry.
+func (k *Keeper) Take(tenant string, level urgency.Level, deadline time.Time) (token Token, retryAfter time.Duration, granted bool) {
+	alreadyWaiting := false
 	for {
-		verdict, changed := k.try(waiters{tenant, level}, waits)
+		verdict, changed := k.tryTake(waiterKey{tenant, level}, alreadyWaiting)
 		switch {
 		case verdict.Granted:
-			return k.waitFor(Token{tenant: tenant, level: level, from: verdict.From, until: verdict.Until}, deadline)
-		case !verdict.Pending && verdict.Young && time.Now().Add(verdict.After).Before(deadline):
-			// The fleet has just started: there will be some in a moment.
-			time.Sleep(verdict.After)
-			waits = false
+			return k.waitUntilValid(Token{tenant: tenant, level: level, validFrom: verdict.ValidFrom, validUntil: verdict.ValidUntil}, deadline)
+		case !verdict.Pending && verdict.Starting && time.Now().Add(verdict.RetryAfter).Before(deadline):
+			// The allocators have just started and have tokens soon.
+			time.Sleep(verdict.RetryAfter)
+			alreadyWaiting = false
 			continue
 		case !verdict.Pending:
-			return Token{}, verdict.After, false
+			return Token{}, verdict.RetryAfter, false
 		}
-		waits = true
+		alreadyWaiting = true
 		timer := time.NewTimer(time.Until(deadline))
 		select {
 		case <-changed:
 			timer.Stop()
 		case <-timer.C:
 			k.step(func(time.Time) { k.machine.Abandon(tenant, level) })
-			return Token{}, unreachedPause, false
+			return Token{}, unreachableRetryAfter, false
 		}
 	}
 }
 
-// waitFor waits until a token is good, unless that is after the deadline: then it is left
-// to others.
-func (k *Keeper) waitFor(token Token, deadline time.Time) (Token, time.Duration, bool) {
+// waitUntilValid waits until a token is valid. If that is after the deadline, it returns the
+// token for use by others.
+func (k *Keeper) waitUntilValid(token Token, deadline time.Time) (Token, time.Duration, bool) {
 	now := time.Now()
-	if token.from.After(deadline) {
+	if token.validFrom.After(deadline) {
 		k.PutBack(token)
-		return Token{}, token.from.Sub(now), false
+		return Token{}, token.validFrom.Sub(now), false
 	}
-	if wait := token.from.Sub(now); wait > 0 {
+	if wait := token.validFrom.Sub(now); wait > 0 {
 		time.Sleep(wait)
 	}
 	return token, 0, true
 }
 
-// try asks the machine once, and returns what is closed when to ask again.
-func (k *Keeper) try(who waiters, waits bool) (verdict Verdict, changed chan struct{}) {
+// tryTake asks the machine once. For a pending verdict it returns the channel that is closed when
+// to try again.
+func (k *Keeper) tryTake(key waiterKey, alreadyWaiting bool) (verdict Verdict, changed chan struct{}) {
 	k.step(func(now time.Time) {
-		verdict = k.machine.Take(now, who.tenant, who.level, waits)
+		verdict = k.machine.Take(now, key.tenant, key.level, alreadyWaiting)
 		if !verdict.Pending {
 			return
 		}
-		if changed = k.waiting[who]; changed == nil {
+		if changed = k.waiting[key]; changed == nil {
 			changed = make(chan struct{})
-			k.waiting[who] = changed
+			k.waiting[key] = changed
 		}
 	})
 	return verdict, changed
@@ -104,52 +104,53 @@
 
 // PutBack returns the token of an operation that did not run.
 func (k *Keeper) PutBack(token Token) {
-	k.step(func(now time.Time) { k.machine.PutBack(now, token.tenant, token.level, token.from, token.until) })
+	k.step(func(now time.Time) {
+		k.machine.PutBack(now, token.tenant, token.level, token.validFrom, token.validUntil)
+	})
 }
 
-// Receive takes a message from the node at an address.
+// Receive handles a message from the node at an address.
 func (k *Keeper) Receive(from string, m *Message) {
 	k.step(func(now time.Time) { k.machine.Receive(now, from, m) })
 }
 
-// Tick is to be called some times in a renewInterval.
+// Tick must be called several times per renewInterval.
 func (k *Keeper) Tick() { k.step(k.machine.Tick) }
 
-// SetFleet takes what is now known of the other nodes.
+// SetFleet sets what is known of the other nodes.
 func (k *Keeper) SetFleet(fleet Fleet) {
 	k.step(func(time.Time) { k.machine.SetFleet(fleet) })
 }
 
-// SetShare gives the node its share from a time on.
+// SetShare gives the node its share from the given time.
 func (k *Keeper) SetShare(from time.Time) {
 	k.step(func(time.Time) { k.machine.SetShare(from) })
 }
 
-// Leave makes the node's allocator tell its askers to turn to others.
+// Leave makes the node's allocator tell the requesters to use other ones.
 func (k *Keeper) Leave() {
 	k.step(func(time.Time) { k.machine.Leave() })
 }
 
-// step changes the machine, sends what it wants to tell and wakes those who wait.
-func (k *Keeper) step(change func(now time.Time)) {
+// step updates the machine, sends its messages, wakes waiting operations and reports throttling.
+func (k *Keeper) step(update func(now time.Time)) {
 	k.mu.Lock()
 	now := time.Now()
-	change(now)
+	update(now)
 	out := k.drain(now)
 	k.wake(now)
-	changes := k.machine.Changes()
+	events := k.machine.ThrottleEvents()
 	k.mu.Unlock()
 	k.send(out)
 	if k.notify == nil {
 		return
 	}
-	for _, change := range changes {
-		k.notify(change)
+	for _, event := range events {
+		k.notify(event)
 	}
 }
 
-// drain returns the messages to other nodes; those to this one are taken at once. The lock
-// is held.
+// drain returns the messages to other nodes and handles those to this one. mu must be held.
 func (k *Keeper) drain(now time.Time) []Envelope {
 	var out []Envelope
 	for pending := k.machine.Drain(); len(pending) > 0; pending = k.machine.Drain() {
@@ -164,12 +165,12 @@
 	return out
 }
 
-// wake makes operations ask again for whose tenants something has come; the lock is held.
+// wake wakes the waiting operations that should try again. mu must be held.
 func (k *Keeper) wake(now time.Time) {
-	for who, changed := range k.waiting {
-		if k.machine.Ready(now, who.tenant, who.level) {
+	for key, changed := range k.waiting {
+		if k.machine.Ready(now, key.tenant, key.level) {
 			close(changed)
-			delete(k.waiting, who)
+			delete(k.waiting, key)
 		}
 	}
 }
--- a/internal/proxy/quota/machine.go
+++ b/internal/proxy/quota/machine.go
@@ -5,42 +5,43 @@
 	"time"
 )
 
-// Times of the exchange with allocators.
+// Timing of the exchange with allocators.
 const (
-	// renewInterval is the pause between a node's delegations to its allocator.
+	// renewInterval is the interval at which delegations are renewed.
 	renewInterval = 150 * time.Millisecond
-	// answerLimit is how long an allocator's answer is waited for: some round trips between
-	// regions. After missesToSilent in a row the allocator counts as silent.
-	answerLimit    = 200 * time.Millisecond
-	missesToSilent = 2
-	// firstRetry is the pause until a silent allocator is asked again; it doubles up to
-	// lastRetry.
-	firstRetry = 500 * time.Millisecond
-	lastRetry  = 4 * time.Second
-	// unreachedPause is when to come back while no allocator can be asked.
-	unreachedPause = 300 * time.Millisecond
-	// balanceLife is how long the balance of a tenant without callers is kept.
-	balanceLife = 10 * time.Second
+	// replyTimeout is the timeout of a request: several round-trip times between regions. After
+	// maxMissedReplies timeouts in a row the allocator counts as unavailable.
+	replyTimeout     = 200 * time.Millisecond
+	maxMissedReplies = 2
+	// minBackoff is the time after which an unavailable allocator is asked again. It doubles up
+	// to maxBackoff.
+	minBackoff = 500 * time.Millisecond
+	maxBackoff = 4 * time.Second
+	// unreachableRetryAfter is the time after which callers retry while no allocator can be
+	// asked.
+	unreachableRetryAfter = 300 * time.Millisecond
+	// idleTenantTTL is how long the tokens of a tenant without operations are kept.
+	idleTenantTTL = 10 * time.Second
 )
 
 // Config configures a Machine.
 type Config struct {
-	// Node names the node, Address is where messages reach it.
+	// Node is the node's name, Address the address for messages to it.
 	Node    string
 	Address string
-	// Life names the process, Started is a time before it sent anything.
+	// Life identifies the process. Started is a time before it sent any message.
 	Life    uint64
 	Started time.Time
 	Limits  Limits
-	// OnHeldBack is called by a Keeper with what Machine.Changes returns; it may be nil.
+	// OnHeldBack is called by a Keeper with each of Machine.ThrottleEvents; it may be nil.
 	OnHeldBack func(HeldBack)
 }
 
-// Fleet is what a node knows of the others.
+// Fleet is what a node knows of the other nodes.
 type Fleet struct {
-	// Nodes is how many share the quotas, this one included.
+	// Nodes is the number of nodes that share the quotas, including this one.
 	Nodes int
-	// Home is the node's region, Far are the others, those to ask first in front.
+	// Home is the node's region. Far are the others, in the order in which they are asked.
 	Home Region
 	Far  []Region
 }
@@ -57,109 +58,109 @@
 	}
 }
 
-// Region is the allocators of a region: for each part of the tenants, the addresses of those
-// nodes that may be its allocator, best first.
+// Region holds the allocators of a region: for each part of the tenants, the addresses of the
+// nodes that may be its allocator, in order of preference.
 type Region struct {
 	Allocators [][]string
 }
 
-// Machine is one node's part: the tokens of its callers, its share and its allocator. It is
-// pure, and used by one goroutine at a time.
+// Machine is the state of one node: its callers' tokens, its share and its allocator. It has no
+// clock, does no I/O and is not safe for concurrent use.
 type Machine struct {
 	cfg       Config
 	allocator *Allocator
 
 	fleet Fleet
-	// nodes is the most that were seen to share the quotas.
-	nodes int
-	// shareFrom is when the node's share may first be used; zero while it has none.
+	// maxNodes is the highest number of nodes that was known to share the quotas.
+	maxNodes int
+	// shareFrom is when the node may first use its share; zero while it has none.
 	shareFrom time.Time
-	// promises are the delegations that may still hold, by part.
-	promises   map[Part]promise
-	allocators map[string]*correspondent
-	// order holds the addresses of allocators in the order in which they became known, so that
-	// the same events have the same effects.
-	order    []string
-	balances map[string]*balance
-	sequence uint64
-	swept    time.Time
-	out      []Envelope
+	// sentDelegations holds the delegations that may still be valid, by part.
+	sentDelegations map[Part]sentDelegation
+	allocators      map[string]*peer
+	// allocatorOrder holds the addresses of allocators in the order in which they became known,
+	// so that the machine is deterministic.
+	allocatorOrder []string
+	tenants        map[string]*tenantTokens
+	sequence       uint64
+	lastSweep      time.Time
+	out            []Envelope
 }
 
-// NewMachine returns a machine that knows of no other node and has no share.
+// NewMachine returns a machine that knows no other node and has no share.
 func NewMachine(cfg Config) *Machine {
 	return &Machine{
 		cfg: cfg, allocator: NewAllocator(cfg.Life, cfg.Started, cfg.Limits),
-		promises: map[Part]promise{}, allocators: map[string]*correspondent{}, balances: map[string]*balance{},
+		sentDelegations: map[Part]sentDelegation{}, allocators: map[string]*peer{}, tenants: map[string]*tenantTokens{},
 	}
 }
 
-// Drain returns the messages to send.
+// Drain returns and clears the messages to send.
 func (m *Machine) Drain() []Envelope {
 	out := m.out
 	m.out = nil
 	return out
 }
 
-// SetFleet takes what is now known of the other nodes. The share never grows again: a
-// process that sees fewer nodes than before cannot know whether the others are gone.
+// SetFleet sets what is known of the other nodes. The node's share never grows: a process that
+// sees fewer nodes than before cannot know whether the others still use their shares.
 func (m *Machine) SetFleet(fleet Fleet) {
 	m.fleet = fleet
-	m.nodes = max(m.nodes, fleet.Nodes)
+	m.maxNodes = max(m.maxNodes, fleet.Nodes)
 }
 
-// Leave makes the node's allocator tell its askers to turn to others.
+// Leave makes the node's allocator tell the requesters to use other ones.
 func (m *Machine) Leave() { m.allocator.leaving = true }
 
-// Receive takes a message from the node at an address.
+// Receive handles a message from the node at an address.
 func (m *Machine) Receive(now time.Time, from string, message *Message) {
 	switch {
-	case message.Request != nil && message.Request.acceptable():
+	case message.Request != nil && message.Request.isValid():
 		m.out = append(m.out, Envelope{To: from, Message: Message{Reply: m.allocator.Handle(now, message.Request)}})
 	case message.Reply != nil:
-		m.answered(now, from, message.Reply)
+		m.handleReply(now, from, message.Reply)
 	}
 }
 
-// Tick looks for answers that have not come and renews the delegations. It is called some
-// times in a renewInterval.
+// Tick handles timeouts of requests and renews the delegations. It must be called several times
+// per renewInterval.
 func (m *Machine) Tick(now time.Time) {
-	for _, address := range m.order {
-		c := m.allocators[address]
-		if c.awaited != 0 && now.Sub(c.sent) >= answerLimit {
-			m.miss(now, c)
+	for _, address := range m.allocatorOrder {
+		p := m.allocators[address]
+		if p.pendingSequence != 0 && now.Sub(p.lastRequest) >= replyTimeout {
+			m.recordMiss(now, p)
 		}
-		if c.silent && c.awaited == 0 && !now.Before(c.retryAt) {
-			// A look whether it answers again, which delegates nothing.
-			m.request(now, c)
+		if p.unavailable && p.pendingSequence == 0 && !now.Before(p.retryAt) {
+			// Check whether it replies again. The request delegates nothing.
+			m.sendRequest(now, p)
 		}
 	}
-	m.renew(now)
-	m.allocator.endHoldings(now)
-	if now.Sub(m.swept) >= balanceLife {
+	m.renewDelegations(now)
+	m.allocator.endThrottling(now)
+	if now.Sub(m.lastSweep) >= idleTenantTTL {
 		m.sweep(now)
 	}
 }
 
-// sweep forgets what is no longer used.
+// sweep removes unused state.
 func (m *Machine) sweep(now time.Time) {
-	m.swept = now
-	for tenant, w := range m.balances {
-		if now.Sub(w.used) >= balanceLife && w.waiting == (Needs{}) && w.asked == "" {
-			delete(m.balances, tenant)
+	m.lastSweep = now
+	for tenant, t := range m.tenants {
+		if now.Sub(t.lastUsed) >= idleTenantTTL && t.waiting == (LevelCounts{}) && t.pendingAllocator == "" {
+			delete(m.tenants, tenant)
 		}
 	}
-	for address, c := range m.allocators {
-		if c.awaited == 0 && len(c.queued) == 0 && !m.knows(address) {
+	for address, p := range m.allocators {
+		if p.pendingSequence == 0 && len(p.queued) == 0 && !m.isAllocator(address) {
 			delete(m.allocators, address)
 		}
 	}
-	m.order = slices.DeleteFunc(m.order, func(address string) bool { return m.allocators[address] == nil })
-	m.allocator.Forget()
+	m.allocatorOrder = slices.DeleteFunc(m.allocatorOrder, func(address string) bool { return m.allocators[address] == nil })
+	m.allocator.RemoveUnlimited()
 }
 
-// knows reports whether an address is that of an allocator of the fleet.
-func (m *Machine) knows(address string) bool {
+// isAllocator reports whether an address is that of an allocator of the fleet.
+func (m *Machine) isAllocator(address string) bool {
 	for region := range m.fleet.regions {
 		for _, addresses := range region.Allocators {
 			if slices.Contains(addresses, address) {
--- a/internal/proxy/quota/model_test.go
+++ b/internal/proxy/quota/model_test.go
@@ -15,79 +15,79 @@
 	"dewknot/internal/proxy/urgency"
 )
 
-// The model plays a fleet whose callers want more than they may have, with datagrams that
-// are late, lost, repeated and out of order, nodes that stand still, are cut off or start
-// anew, and views of the fleet that differ, and checks the promise over every window.
+// The model runs nodes whose callers want more than their quota, and checks the bounds over every
+// window. Datagrams are late, lost, repeated and out of order. Nodes freeze, restart, are
+// partitioned and have different views of the fleet.
 
-// mutation is a safeguard that is switched off; the check must notice each.
+// mutation is a safeguard that is disabled. The model must detect each.
 type mutation string
 
 const (
-	// grantForgotten: an allocator does not take what it hands out from what it has.
-	grantForgotten mutation = "an allocator forgets what it has handed out"
-	// shareAtOnce: a process that starts delegates at once what its last life has delegated.
-	shareAtOnce mutation = "a process that starts uses its share at once"
-	// stockAtStart: an allocator that starts has a full stock.
-	stockAtStart mutation = "an allocator starts with a full stock"
-	// tokensStay: tokens are good for ever.
-	tokensStay mutation = "tokens are good for ever"
-	// promisesForgotten: a share is delegated to a second allocator while the first one has it.
-	promisesForgotten mutation = "a share is delegated to two allocators"
-	// delegationsStay: delegations do not end.
-	delegationsStay mutation = "delegations do not end"
-	// wholeShares: each node's share is the whole.
-	wholeShares mutation = "the shares are more than the whole"
-	// stockUnbounded: an allocator keeps all that was minted while nobody wanted any.
-	stockUnbounded mutation = "an allocator's stock is not bounded"
-	// lessUrgentForgotten: what less urgent work is given is not taken off.
-	lessUrgentForgotten mutation = "an allocator forgets what it has handed out to less urgent work"
-	// floorMinted: the floor of less urgent work is handed out besides what is minted.
-	floorMinted mutation = "the floor of less urgent work is minted"
-	// levelsTwice: tokens that were handed out for a level are anybody's besides.
-	levelsTwice mutation = "tokens of a level are anybody's besides"
+	// grantsNotDeducted: an allocator does not deduct granted tokens from its balance.
+	grantsNotDeducted mutation = "an allocator does not deduct granted tokens"
+	// shareUsedAtStart: a restarted process does not wait until old delegations have expired.
+	shareUsedAtStart mutation = "a restarted process uses its share at once"
+	// fullBalanceAtStart: an allocator starts with a full balance.
+	fullBalanceAtStart mutation = "an allocator starts with a full balance"
+	// tokensNeverExpire: tokens are valid forever.
+	tokensNeverExpire mutation = "tokens never expire"
+	// delegationsNotTracked: a share is delegated to a second allocator while the first one has
+	// it.
+	delegationsNotTracked  mutation = "a share is delegated to two allocators"
+	delegationsNeverExpire mutation = "delegations never expire"
+	// sharesNotDivided: each node's share is the whole quota.
+	sharesNotDivided mutation = "the shares add up to more than 1"
+	// balanceUnbounded: an allocator keeps all tokens that were issued while nobody needed any.
+	balanceUnbounded mutation = "an allocator's balance is not bounded"
+	// lessUrgentNotDeducted: tokens granted to less urgent work are not deducted.
+	lessUrgentNotDeducted mutation = "an allocator does not deduct tokens granted to less urgent work"
+	// guaranteeAddsTokens: the guaranteed minimum of less urgent work is granted in addition to
+	// the issued tokens.
+	guaranteeAddsTokens mutation = "the guaranteed minimum is granted in addition to issued tokens"
+	// levelTokensDuplicated: tokens granted for a level can be used again by any level.
+	levelTokensDuplicated mutation = "tokens of a level can be used again by any level"
 )
 
-// mutations holds, with each, the troubles in which it matters.
-var mutations = map[mutation]troubles{
-	grantForgotten:    {},
-	shareAtOnce:       {storms: true},
-	stockAtStart:      {storms: true, restarts: true},
-	tokensStay:        {crowds: true},
-	promisesForgotten: {storms: true, views: true},
-	delegationsStay:   {storms: true, views: true},
-	wholeShares:       {},
-	stockUnbounded:    {crowds: true},
+// mutations maps each mutation to the faults under which it is detected.
+var mutations = map[mutation]faults{
+	grantsNotDeducted:      {},
+	shareUsedAtStart:       {churn: true},
+	fullBalanceAtStart:     {churn: true, restarts: true},
+	tokensNeverExpire:      {loadChanges: true},
+	delegationsNotTracked:  {churn: true, views: true},
+	delegationsNeverExpire: {churn: true, views: true},
+	sharesNotDivided:       {},
+	balanceUnbounded:       {loadChanges: true},
 
-	lessUrgentForgotten: {},
-	floorMinted:         {},
-	levelsTwice:         {},
+	lessUrgentNotDeducted: {},
+	guaranteeAddsTokens:   {},
+	levelTokensDuplicated: {},
 }
 
 const (
 	modelTenant = "t"
-	// modelStep is the pause between two moments at which something may happen.
+	// modelStep is the time step of a run.
 	modelStep = 10 * time.Millisecond
-	// modelLength is the length of a play.
-	modelLength = 15 * time.Second
-	// crowd is the most operations that wait at a node.
-	crowd = 200
-	// longestDelay bounds the way of a datagram.
-	longestDelay = 1500 * time.Millisecond
+	// modelDuration is the simulated duration of a run.
+	modelDuration = 15 * time.Second
+	// maxModelWaiting is the maximum number of waiting operations at a node.
+	maxModelWaiting  = 200
+	maxDatagramDelay = 1500 * time.Millisecond
 )
 
-// modelNode is a node; its machine is replaced when it starts anew.
+// modelNode is a node. A restart replaces its machine.
 type modelNode struct {
-	address string
-	machine *Machine
-	frozen  time.Time
-	down    time.Time
-	// greed is how many operations its callers want in ten steps.
-	greed int
+	address     string
+	machine     *Machine
+	frozenUntil time.Time
+	downUntil   time.Time
+	// load is how many operations its callers want in ten steps.
+	load int
 }
 
-// datagram is a message on its way.
+// datagram is a message in transit.
 type datagram struct {
-	at       time.Time
+	arrival  time.Time
 	number   int
 	from, to string
 	message  Message
@@ -97,7 +97,7 @@
 
 func (d datagrams) Len() int { return len(d) }
 func (d datagrams) Less(i, j int) bool {
-	return d[i].at.Before(d[j].at) || d[i].at.Equal(d[j].at) && d[i].number < d[j].number
+	return d[i].arrival.Before(d[j].arrival) || d[i].arrival.Equal(d[j].arrival) && d[i].number < d[j].number
 }
 func (d datagrams) Swap(i, j int) { d[i], d[j] = d[j], d[i] }
 func (d *datagrams) Push(x any)   { *d = append(*d, x.(*datagram)) }
@@ -107,45 +107,45 @@
 	return last
 }
 
-// troubles are the kinds of trouble of a play.
-type troubles struct {
-	wire, freezes, restarts, views, cuts, storms, crowds bool
+// faults are the kinds of faults of a run.
+type faults struct {
+	network, freezes, restarts, views, partitions, churn, loadChanges bool
 }
 
-func someTroubles(random *rand.Rand) troubles {
-	some := func() bool { return random.IntN(2) == 0 }
-	return troubles{wire: some(), freezes: some(), restarts: some(), views: some(), cuts: some(), storms: some(), crowds: some()}
+func drawFaults(random *rand.Rand) faults {
+	enabled := func() bool { return random.IntN(2) == 0 }
+	return faults{network: enabled(), freezes: enabled(), restarts: enabled(), views: enabled(), partitions: enabled(), churn: enabled(), loadChanges: enabled()}
 }
 
 type modelWorld struct {
-	random *rand.Rand
-	broken mutation
-	start  time.Time
-	now    time.Time
-	nodes  []*modelNode
-	wire   datagrams
-	sent   int
-	cut    map[[2]string]time.Time
-	bounds Bounds
-	quota  catalog.Quota
-	// troubles are the kinds that strike in this play.
-	troubles troubles
-	// levels is how many levels operations have; 0 if all have the same.
+	random       *rand.Rand
+	mutant       mutation
+	start        time.Time
+	now          time.Time
+	nodes        []*modelNode
+	network      datagrams
+	sent         int
+	blockedUntil map[[2]string]time.Time
+	bounds       Bounds
+	quota        catalog.Quota
+	// faults are the kinds that occur in this run.
+	faults faults
+	// levels is the number of levels that operations have; 0 if all have the same.
 	levels int
-	// filled holds the allocators whose stock a mutation has filled.
+	// filled holds the allocators whose balance a mutation has filled.
 	filled map[*Allocator]bool
-	// stormUntil is until when processes start anew all the time.
-	stormUntil time.Time
-	// ran holds when operations took a token.
-	ran []time.Time
+	// churnUntil is when repeated restarts or changes of allocators end.
+	churnUntil time.Time
+	// executed holds the times at which operations took a token.
+	executed []time.Time
 }
 
-// modelConfig configures a play.
+// modelConfig configures a run.
 type modelConfig struct {
-	seed     uint64
-	troubles troubles
-	broken   mutation
-	// tight is a quota beyond whose rate nothing is allowed, bursty one of which most is a
+	seed   uint64
+	faults faults
+	mutant mutation
+	// tight is a quota that allows nothing beyond its rate, bursty one that consists mostly of a
 	// burst.
 	tight, bursty bool
 }
@@ -153,7 +153,7 @@
 func newModelWorld(cfg modelConfig) *modelWorld {
 	start := time.Unix(1_000_000, 0)
 	w := &modelWorld{
-		random: rand.New(rand.NewPCG(cfg.seed, 7)), broken: cfg.broken, troubles: cfg.troubles, start: start, now: start, cut: map[[2]string]time.Time{}, filled: map[*Allocator]bool{},
+		random: rand.New(rand.NewPCG(cfg.seed, 7)), mutant: cfg.mutant, faults: cfg.faults, start: start, now: start, blockedUntil: map[[2]string]time.Time{}, filled: map[*Allocator]bool{},
 	}
 	w.levels = int(cfg.seed/3%3) * 2
 	rate := float64(1 + w.random.IntN(300))
@@ -166,7 +166,7 @@
 		w.quota.Burst, w.bounds = 0, Bounds{Window: 5 * time.Second}
 	}
 	for i := range 3 + w.random.IntN(5) {
-		w.nodes = append(w.nodes, &modelNode{address: fmt.Sprintf("n%d", i), greed: w.greed()})
+		w.nodes = append(w.nodes, &modelNode{address: fmt.Sprintf("n%d", i), load: w.load()})
 	}
 	for _, node := range w.nodes {
 		w.startNode(node)
@@ -176,30 +176,31 @@
 
 func (w *modelWorld) limits(string) (Limit, bool) { return w.bounds.Limit(w.quota), true }
 
-// startNode starts a node's process, which remembers nothing.
+// startNode starts a node's process without any state.
 func (w *modelWorld) startNode(node *modelNode) {
 	node.machine = NewMachine(Config{
 		Node: node.address, Address: node.address, Life: 1 + w.random.Uint64N(1<<40), Started: w.now, Limits: w.limits,
 	})
-	if w.broken == stockUnbounded {
+	if w.mutant == balanceUnbounded {
 		node.machine.allocator.limits = func(tenant string) (Limit, bool) {
 			limit, _ := w.limits(tenant)
-			limit.Stock *= 1000
+			limit.MaxBalance *= 1000
 			return limit, true
 		}
 	}
 	node.machine.SetShare(w.now)
-	if w.broken == shareAtOnce {
+	if w.mutant == shareUsedAtStart {
 		node.machine.shareFrom = w.now
 	}
-	w.view(node)
-	if w.broken == wholeShares {
-		node.machine.nodes = 1
+	w.changeView(node)
+	if w.mutant == sharesNotDivided {
+		node.machine.maxNodes = 1
 	}
 }
 
-// view gives a node a view of the fleet: always as many nodes, but allocators in some order.
-func (w *modelWorld) view(node *modelNode) {
+// changeView gives a node a view of the fleet. The number of nodes is always the same, the order
+// of allocators differs.
+func (w *modelWorld) changeView(node *modelNode) {
 	region := func() Region {
 		var region Region
 		for range 1 + w.random.IntN(2)*w.random.IntN(3) {
@@ -213,109 +214,111 @@
 	}
 	// Usually all nodes agree.
 	fleet := Fleet{Nodes: len(w.nodes), Home: Region{Allocators: [][]string{{w.nodes[0].address, node.address}}}}
-	if w.troubles.views && w.random.IntN(4) == 0 {
+	if w.faults.views && w.random.IntN(4) == 0 {
 		fleet.Home = region()
 	}
 	if w.random.IntN(2) == 0 {
 		fleet.Far = []Region{region()}
 	}
-	if w.broken != wholeShares {
+	if w.mutant != sharesNotDivided {
 		node.machine.SetFleet(fleet)
 		return
 	}
 	node.machine.fleet = fleet
 }
 
-// play plays to the end and returns the most operations in a window, and what is allowed.
-func (w *modelWorld) play() (most, allowed int) {
-	end := w.now.Add(modelLength)
+// run simulates the run. It returns the maximum number of operations in a window, and the allowed
+// number.
+func (w *modelWorld) run() (maxOperations, allowed int) {
+	end := w.now.Add(modelDuration)
 	for w.now.Before(end) {
 		w.now = w.now.Add(modelStep)
-		w.strike()
+		w.injectFaults()
 		w.deliver()
 		for _, node := range w.nodes {
-			if w.runs(node) {
-				w.work(node)
+			if w.isRunning(node) {
+				w.runOperations(node)
 			}
 		}
 	}
-	slices.SortFunc(w.ran, time.Time.Compare)
+	slices.SortFunc(w.executed, time.Time.Compare)
 	first := 0
-	for i, at := range w.ran {
-		for at.Sub(w.ran[first]) > w.bounds.Window {
+	for i, executedAt := range w.executed {
+		for executedAt.Sub(w.executed[first]) > w.bounds.Window {
 			first++
 		}
-		most = max(most, i-first+1)
+		maxOperations = max(maxOperations, i-first+1)
 	}
-	return most, int(w.bounds.Most(w.quota))
+	return maxOperations, int(w.bounds.Most(w.quota))
 }
 
-func (w *modelWorld) runs(node *modelNode) bool {
-	return !w.now.Before(node.frozen) && !w.now.Before(node.down)
+func (w *modelWorld) isRunning(node *modelNode) bool {
+	return !w.now.Before(node.frozenUntil) && !w.now.Before(node.downUntil)
 }
 
-// greed draws how much a node's callers want: hardly anything, or far more than they may.
-func (w *modelWorld) greed() int {
+// load draws how much a node's callers want: hardly anything, or far more than the quota.
+func (w *modelWorld) load() int {
 	if w.random.IntN(2) == 0 {
 		return w.random.IntN(4)
 	}
 	return w.random.IntN(300)
 }
 
-// chance is true once in so many steps if a kind of trouble strikes in this play.
-func (w *modelWorld) chance(strikes bool, steps int) bool {
-	return strikes && w.random.IntN(steps) == 0
+// occurs draws whether an enabled fault occurs, which it does once in the given number of steps.
+func (w *modelWorld) occurs(enabled bool, steps int) bool {
+	return enabled && w.random.IntN(steps) == 0
 }
 
-// strike causes troubles.
-func (w *modelWorld) strike() {
+// injectFaults injects random faults.
+func (w *modelWorld) injectFaults() {
 	node := w.nodes[w.random.IntN(len(w.nodes))]
-	if w.chance(w.troubles.freezes, 250) {
-		node.frozen = w.now.Add(time.Duration(w.random.IntN(8000)) * time.Millisecond)
+	if w.occurs(w.faults.freezes, 250) {
+		node.frozenUntil = w.now.Add(time.Duration(w.random.IntN(8000)) * time.Millisecond)
 	}
-	if w.chance(w.troubles.restarts, 200) {
+	if w.occurs(w.faults.restarts, 200) {
 		w.restart(node)
 	}
-	if w.chance(w.troubles.restarts, 700) {
+	if w.occurs(w.faults.restarts, 700) {
 		for _, each := range w.nodes {
 			w.restart(each)
 		}
 	}
-	if w.chance(w.troubles.views, 100) {
-		w.view(node)
+	if w.occurs(w.faults.views, 100) {
+		w.changeView(node)
 	}
-	if w.chance(w.troubles.crowds, 100) {
-		// Many operations wait, and will have given up before they get a token.
-		if held := node.machine.balances[modelTenant]; held != nil {
-			held.waiting[w.level()] = crowd
+	if w.occurs(w.faults.loadChanges, 100) {
+		// Many operations wait, and time out before they get a token.
+		if tokens := node.machine.tenants[modelTenant]; tokens != nil {
+			tokens.waiting[w.level()] = maxModelWaiting
 		}
 	}
-	if w.chance(w.troubles.crowds, 300) {
-		greed := w.greed()
+	if w.occurs(w.faults.loadChanges, 300) {
+		load := w.load()
 		for _, each := range w.nodes {
-			each.greed = greed
+			each.load = load
 		}
 	}
-	if w.chance(w.troubles.cuts, 80) {
+	if w.occurs(w.faults.partitions, 80) {
 		other := w.nodes[w.random.IntN(len(w.nodes))]
-		w.cut[[2]string{node.address, other.address}] = w.now.Add(time.Duration(w.random.IntN(4000)) * time.Millisecond)
+		w.blockedUntil[[2]string{node.address, other.address}] = w.now.Add(time.Duration(w.random.IntN(4000)) * time.Millisecond)
 	}
-	if w.chance(w.troubles != (troubles{}), 300) {
-		node.greed = w.greed()
+	if w.occurs(w.faults != (faults{}), 300) {
+		node.load = w.load()
 	}
-	w.storm()
+	w.injectChurn()
 }
 
-// storm makes processes start anew, again and again: the usual allocator, or all but two, each
-// with one of the two as its allocator; or these change their allocator without starting anew.
-func (w *modelWorld) storm() {
-	if w.chance(w.troubles.storms, 400) {
-		w.stormUntil = w.now.Add(5 * time.Second)
+// injectChurn repeatedly restarts the usual allocator, or all nodes but two, each with one of
+// these two as its allocator. If views differ, the nodes change their allocator without a
+// restart.
+func (w *modelWorld) injectChurn() {
+	if w.occurs(w.faults.churn, 400) {
+		w.churnUntil = w.now.Add(5 * time.Second)
 	}
-	if !w.now.Before(w.stormUntil) {
+	if !w.now.Before(w.churnUntil) {
 		return
 	}
-	if w.troubles.restarts && !w.troubles.views {
+	if w.faults.restarts && !w.faults.views {
 		if w.random.IntN(100) == 0 {
 			w.restart(w.nodes[0])
 		}
@@ -325,7 +328,7 @@
 		return
 	}
 	for _, each := range w.nodes[2:] {
-		if !w.troubles.views {
+		if !w.faults.views {
 			w.restart(each)
 		}
 		allocator := w.nodes[w.random.IntN(2)].address
@@ -335,30 +338,30 @@
 
 func (w *modelWorld) restart(node *modelNode) {
 	down := w.random.IntN(800)
-	if w.now.Before(w.stormUntil) {
+	if w.now.Before(w.churnUntil) {
 		down = 0
 	}
-	node.down = w.now.Add(time.Duration(down) * time.Millisecond)
-	node.frozen = time.Time{}
+	node.downUntil = w.now.Add(time.Duration(down) * time.Millisecond)
+	node.frozenUntil = time.Time{}
 	w.startNode(node)
-	node.machine.cfg.Started = node.down
-	node.machine.allocator.started = node.down
-	node.machine.shareFrom = node.down.Add(delegationSpan)
-	if w.broken == shareAtOnce {
-		node.machine.shareFrom = node.down
+	node.machine.cfg.Started = node.downUntil
+	node.machine.allocator.started = node.downUntil
+	node.machine.shareFrom = node.downUntil.Add(delegationDuration)
+	if w.mutant == shareUsedAtStart {
+		node.machine.shareFrom = node.downUntil
 	}
 }
 
-// deliver hands over the datagrams that are due. Those to a node that stands still wait.
+// deliver delivers the datagrams that are due. Those to a frozen node wait.
 func (w *modelWorld) deliver() {
-	for len(w.wire) > 0 && !w.wire[0].at.After(w.now) {
-		due := heap.Pop(&w.wire).(*datagram)
+	for len(w.network) > 0 && !w.network[0].arrival.After(w.now) {
+		due := heap.Pop(&w.network).(*datagram)
 		to := w.find(due.to)
 		switch {
-		case to == nil || w.now.Before(to.down):
-		case w.now.Before(to.frozen):
-			due.at = to.frozen
-			heap.Push(&w.wire, due)
+		case to == nil || w.now.Before(to.downUntil):
+		case w.now.Before(to.frozenUntil):
+			due.arrival = to.frozenUntil
+			heap.Push(&w.network, due)
 		default:
 			w.receive(to, due)
 		}
@@ -368,76 +371,76 @@
 func (w *modelWorld) receive(to *modelNode, due *datagram) {
 	message := due.message
 	if message.Request != nil {
-		if w.broken == delegationsStay {
-			to.machine.allocator.expires = time.Time{}
+		if w.mutant == delegationsNeverExpire {
+			to.machine.allocator.nextExpiry = time.Time{}
 		}
 	}
-	if w.broken == stockAtStart && len(to.machine.allocator.delegations) > 0 {
-		w.fill(to.machine.allocator)
+	if w.mutant == fullBalanceAtStart && len(to.machine.allocator.delegations) > 0 {
+		w.fillBalance(to.machine.allocator)
 	}
-	before := to.machine.allocator.tokens()
-	if a := to.machine.allocator.accounts[modelTenant]; a != nil && w.broken == floorMinted {
-		for _, owed := range a.claims.owed {
-			a.tokens += owed
+	balanceBefore := to.machine.allocator.balance()
+	if acc := to.machine.allocator.accounts[modelTenant]; acc != nil && w.mutant == guaranteeAddsTokens {
+		for _, guaranteed := range acc.claims.guaranteed {
+			acc.balance += guaranteed
 		}
 	}
 	to.machine.Receive(w.now, due.from, &message)
-	w.breakLevels(to, &message)
-	if a := to.machine.allocator.accounts[modelTenant]; a != nil && w.broken == grantForgotten {
-		a.tokens = max(a.tokens, before)
+	w.disableLevelSafeguards(to, &message)
+	if acc := to.machine.allocator.accounts[modelTenant]; acc != nil && w.mutant == grantsNotDeducted {
+		acc.balance = max(acc.balance, balanceBefore)
 	}
-	if held := to.machine.balances[modelTenant]; held != nil && w.broken == tokensStay {
-		for i := range held.lots {
-			held.lots[i].until = w.now.Add(time.Hour)
+	if tokens := to.machine.tenants[modelTenant]; tokens != nil && w.mutant == tokensNeverExpire {
+		for i := range tokens.batches {
+			tokens.batches[i].validUntil = w.now.Add(time.Hour)
 		}
 	}
-	w.drain(to)
+	w.sendPending(to)
 }
 
-// breakLevels plays the mutations that concern levels, after a message was taken.
-func (w *modelWorld) breakLevels(to *modelNode, message *Message) {
+// disableLevelSafeguards applies the mutations that concern levels, after a message was handled.
+func (w *modelWorld) disableLevelSafeguards(to *modelNode, message *Message) {
 	switch {
-	case message.Request != nil && w.broken == lessUrgentForgotten:
+	case message.Request != nil && w.mutant == lessUrgentNotDeducted:
 		reply := to.machine.out[len(to.machine.out)-1].Message.Reply
-		for _, granted := range reply.Grants {
-			for level, count := range granted.Levels {
+		for _, grant := range reply.Grants {
+			for level, count := range grant.Levels {
 				if level > 0 {
-					to.machine.allocator.accounts[modelTenant].tokens += float64(count)
+					to.machine.allocator.accounts[modelTenant].balance += float64(count)
 				}
 			}
 		}
-	case message.Reply != nil && w.broken == levelsTwice:
-		if held := to.machine.balances[modelTenant]; held != nil {
-			for _, l := range held.lots {
-				if l.level != anybody {
-					l.level = anybody
-					held.lots = append(held.lots, l)
+	case message.Reply != nil && w.mutant == levelTokensDuplicated:
+		if tokens := to.machine.tenants[modelTenant]; tokens != nil {
+			for _, batch := range tokens.batches {
+				if batch.level != anyLevel {
+					batch.level = anyLevel
+					tokens.batches = append(tokens.batches, batch)
 				}
 			}
 		}
 	}
 }
 
-// tokens returns what an allocator has of the model's tenant.
-func (b *Allocator) tokens() float64 {
-	if account := b.accounts[modelTenant]; account != nil {
-		return account.tokens
+// balance returns an allocator's balance of the model's tenant.
+func (a *Allocator) balance() float64 {
+	if account := a.accounts[modelTenant]; account != nil {
+		return account.balance
 	}
 	return 0
 }
 
-// fill gives an allocator that has just started its stock, once.
-func (w *modelWorld) fill(allocator *Allocator) {
+// fillBalance gives an allocator that has just started a full balance, once.
+func (w *modelWorld) fillBalance(allocator *Allocator) {
 	if w.filled[allocator] {
 		return
 	}
 	w.filled[allocator] = true
-	a := allocator.accounts[modelTenant]
-	if a == nil {
-		a = &account{limit: w.bounds.Limit(w.quota)}
-		allocator.accounts[modelTenant] = a
+	acc := allocator.accounts[modelTenant]
+	if acc == nil {
+		acc = &account{limit: w.bounds.Limit(w.quota)}
+		allocator.accounts[modelTenant] = acc
 	}
-	a.tokens = a.limit.Stock
+	acc.balance = acc.limit.MaxBalance
 }
 
 func (w *modelWorld) find(address string) *modelNode {
@@ -449,44 +452,44 @@
 	return nil
 }
 
-// work lets a node's callers take what they can.
-func (w *modelWorld) work(node *modelNode) {
+// runOperations lets a node's callers take tokens.
+func (w *modelWorld) runOperations(node *modelNode) {
 	m := node.machine
-	if w.broken == promisesForgotten {
-		clear(m.promises)
+	if w.mutant == delegationsNotTracked {
+		clear(m.sentDelegations)
 	}
 	if w.random.IntN(10) == 0 {
 		m.Tick(w.now)
 	}
-	wanted := node.greed / 10
-	if w.random.IntN(10) < node.greed%10 {
-		wanted++
+	operations := node.load / 10
+	if w.random.IntN(10) < node.load%10 {
+		operations++
 	}
-	for range wanted {
+	for range operations {
 		level := w.level()
 		verdict := m.Take(w.now, modelTenant, level, false)
 		switch {
 		case verdict.Granted:
-			at := w.now
-			if verdict.From.After(at) {
-				at = verdict.From
+			start := w.now
+			if verdict.ValidFrom.After(start) {
+				start = verdict.ValidFrom
 			}
-			w.ran = append(w.ran, at)
+			w.executed = append(w.executed, start)
 		case verdict.Pending:
-			// The model's operations come back by themselves; some stay in the count of
-			// those that wait, so that allocators are asked for many.
+			// Pending operations do not take a token later. Some of them stay counted as waiting,
+			// so that many tokens are requested.
 			if w.random.IntN(3) == 0 {
 				m.Abandon(modelTenant, level)
 			}
 		}
-		if waiting := &m.balances[modelTenant].waiting; waiting.sum() > crowd {
-			*waiting = Needs{}
+		if waiting := &m.tenants[modelTenant].waiting; waiting.sum() > maxModelWaiting {
+			*waiting = LevelCounts{}
 		}
 	}
-	w.drain(node)
+	w.sendPending(node)
 }
 
-// level draws the level of an operation: in a third of the plays all have the same.
+// level draws the level of an operation. In a third of the runs all have the same.
 func (w *modelWorld) level() urgency.Level {
 	if w.levels == 0 {
 		return 0
@@ -494,80 +497,79 @@
 	return urgency.Level(w.random.IntN(w.levels))
 }
 
-// drain puts a node's messages on their way.
-func (w *modelWorld) drain(node *modelNode) {
+// sendPending sends a node's messages.
+func (w *modelWorld) sendPending(node *modelNode) {
 	for _, envelope := range node.machine.Drain() {
 		w.send(node.address, envelope)
-		if w.troubles.wire && w.random.IntN(20) == 0 {
+		if w.faults.network && w.random.IntN(20) == 0 {
 			w.send(node.address, envelope)
 		}
 	}
 }
 
 func (w *modelWorld) send(from string, envelope Envelope) {
-	lost := w.troubles.wire && w.random.IntN(15) == 0
-	if lost || w.now.Before(w.cut[[2]string{from, envelope.To}]) {
+	lost := w.faults.network && w.random.IntN(15) == 0
+	if lost || w.now.Before(w.blockedUntil[[2]string{from, envelope.To}]) {
 		return
 	}
 	delay := time.Duration(w.random.IntN(40)) * time.Millisecond
-	if w.troubles.wire && w.random.IntN(8) == 0 {
-		delay = time.Duration(w.random.Int64N(int64(longestDelay)))
+	if w.faults.network && w.random.IntN(8) == 0 {
+		delay = time.Duration(w.random.Int64N(int64(maxDatagramDelay)))
 	}
 	w.sent++
-	heap.Push(&w.wire, &datagram{at: w.now.Add(delay), number: w.sent, from: from, to: envelope.To, message: envelope.Message})
+	heap.Push(&w.network, &datagram{arrival: w.now.Add(delay), number: w.sent, from: from, to: envelope.To, message: envelope.Message})
 }
 
-// modelPlays is how many plays a run makes; the environment variable DEWKNOT_QUOTA_PLAYS
-// makes more.
-func modelPlays(t *testing.T) uint64 {
+// modelRuns returns the number of runs. The environment variable DEWKNOT_QUOTA_PLAYS overrides it.
+func modelRuns(t *testing.T) uint64 {
 	t.Helper()
-	const usual = 150
-	return propertytest.Plays(t, "DEWKNOT_QUOTA_PLAYS", usual)
+	const defaultRuns = 150
+	return propertytest.Plays(t, "DEWKNOT_QUOTA_PLAYS", defaultRuns)
 }
 
-// TestNoWindowHoldsMoreThanIsPromised plays fleets in all kinds of trouble.
-func TestNoWindowHoldsMoreThanIsPromised(t *testing.T) {
+// TestNoWindowExceedsBounds checks the bounds under random faults.
+func TestNoWindowExceedsBounds(t *testing.T) {
 	served := 0
-	for seed := range modelPlays(t) {
+	for seed := range modelRuns(t) {
 		random := rand.New(rand.NewPCG(seed, 8))
-		w := newModelWorld(modelConfig{seed: seed, troubles: someTroubles(random), tight: seed%3 == 0})
-		most, allowed := w.play()
-		served += len(w.ran)
-		if most > allowed {
-			t.Fatalf("seed %d: %d operations in a window, %d are allowed (quota %+v, %+v)", seed, most, allowed, w.quota, w.bounds)
+		w := newModelWorld(modelConfig{seed: seed, faults: drawFaults(random), tight: seed%3 == 0})
+		maxOperations, allowed := w.run()
+		served += len(w.executed)
+		if maxOperations > allowed {
+			t.Fatalf("seed %d: %d operations in a window, want at most %d (quota %+v, %+v)", seed, maxOperations, allowed, w.quota, w.bounds)
 		}
 	}
 	must.Positive(t, served)
 }
 
-// TestMissingSafeguardsAreNoticed switches each safeguard off.
-func TestMissingSafeguardsAreNoticed(t *testing.T) {
+// TestModelDetectsDisabledSafeguards checks that the model detects each mutation.
+func TestModelDetectsDisabledSafeguards(t *testing.T) {
 	const seeds = 60
-	for broken, struck := range mutations {
-		noticed := false
-		for seed := uint64(0); seed < seeds && !noticed; seed++ {
-			w := newModelWorld(modelConfig{seed: seed, troubles: struck, broken: broken, tight: broken != stockAtStart, bursty: broken == stockAtStart})
-			most, allowed := w.play()
-			noticed = most > allowed
+	for mutant, enabled := range mutations {
+		detected := false
+		for seed := uint64(0); seed < seeds && !detected; seed++ {
+			w := newModelWorld(modelConfig{seed: seed, faults: enabled, mutant: mutant, tight: mutant != fullBalanceAtStart, bursty: mutant == fullBalanceAtStart})
+			maxOperations, allowed := w.run()
+			detected = maxOperations > allowed
 		}
-		must.True(t, noticed, must.Sprintf("%q, and no seed up to %d shows it", string(broken), seeds))
+		must.True(t, detected, must.Sprintf("mutation %q was not detected by any of %d seeds", string(mutant), seeds))
 	}
 }
 
-// TestCalmFleetsGetWhatTheyMay: callers who want more than their tenant's rate get nearly
-// all of it on a calm fleet, whatever part of them is at one node.
-func TestCalmFleetsGetWhatTheyMay(t *testing.T) {
+// TestFaultFreeFleetReachesItsRate checks that a tenant that wants more than its rate gets nearly
+// all of it without faults, whether its callers use one node or all of them.
+func TestFaultFreeFleetReachesItsRate(t *testing.T) {
 	for seed := range uint64(40) {
 		w := newModelWorld(modelConfig{seed: seed})
 		for i, node := range w.nodes {
-			node.greed = 200
+			node.load = 200
 			if seed%2 == 0 && i > 0 {
-				node.greed = 0
+				node.load = 0
 			}
 		}
-		w.play()
+		w.run()
 		rate := w.bounds.Limit(w.quota).Rate
-		expected := rate * (modelLength - 2*time.Second).Seconds()
-		must.GreaterEq(t, 0.85*expected, float64(len(w.ran)), must.Sprintf("seed %d: quota %+v", seed, w.quota))
+		expected := rate * (modelDuration - 2*time.Second).Seconds()
+		must.GreaterEq(t, 0.85*expected, float64(len(w.executed)), must.Sprintf("seed %d: quota %+v", seed, w.quota))
 	}
 }
--- a/internal/proxy/quota/quota.go
+++ b/internal/proxy/quota/quota.go
@@ -1,11 +1,13 @@
-// Package quota bounds what tenants' callers may do over all nodes.
+// Package quota bounds the operations of tenants over all nodes.
 //
-// Each node has a share of every quota. It delegates its share for a moment to an allocator, a
-// node near it, which hands tokens out to the nodes that ask; an operation takes one. A
-// share is at one place at a time, so the sum over all nodes holds whoever is cut off,
-// stands still, starts anew or believes to be an allocator (docs/design/tenants-and-quotas.md).
+// Each node has a share of every quota. It delegates its share for a short time to an allocator,
+// which is a node near it. An allocator issues tokens at the rate of the shares that are
+// delegated to it, keeps them in a balance, and grants them to the nodes that request some. Each
+// operation takes a token. A share is at one allocator at a time, so the bounds hold if nodes are
+// partitioned, freeze, restart, or disagree on which of them are allocators
+// (docs/design/tenants-and-quotas.md).
 //
-// Machine is pure: it has no clock and sends nothing itself. Keeper runs it.
+// Machine is a state machine without a clock and I/O. Keeper runs it.
 package quota
 
 import (
@@ -17,107 +19,108 @@
 	"dewknot/internal/proxy/catalog"
 )
 
-// Bounds are what is promised of quotas: in any Window, a tenant's operations are at most
-// (rate x Window + burst) x (1 + Overage) + Slack.
+// Bounds limit the operations of each tenant: in any Window they are at most (rate x Window +
+// burst) x (1 + Overage) + Slack.
 type Bounds struct {
 	Window  time.Duration
 	Overage float64
 	Slack   float64
 }
 
-// Most returns how many operations of a tenant may run in any window.
+// Most returns the maximum number of operations of a tenant in any window.
 func (b Bounds) Most(quota catalog.Quota) float64 {
 	return (quota.PerSecond*b.Window.Seconds()+quota.Burst)*(1+b.Overage) + b.Slack
 }
 
-// Limit is how tokens of a tenant are minted and kept over all nodes.
+// Limit is how tokens of a tenant are issued and kept over all nodes.
 type Limit struct {
-	// Rate is how many are minted a second.
+	// Rate is the number of tokens issued per second.
 	Rate float64
-	// Stock bounds those that are kept.
-	Stock float64
-	// Life is how long one that was handed out is good.
-	Life time.Duration
+	// MaxBalance is the maximum number of issued tokens that are kept.
+	MaxBalance float64
+	// TTL is how long a granted token is valid.
+	TTL time.Duration
 }
 
 const (
-	// shareError is the part of the promise that is kept for nodes whose views of the
-	// membership differ, so that their shares add up to more than the whole.
-	shareError = 0.04
-	// leastLife and mostLife bound the life of tokens: some round trips between regions,
-	// and a span in which a busy tenant uses several.
-	leastLife = 100 * time.Millisecond
-	mostLife  = 800 * time.Millisecond
-	// rateShare is the part of what the promise allows beyond the rate that is minted
-	// besides: of a tenant that sends 1.6 times its rate, 1.6% of all callers' operations are
-	// refused on a calm day in place of 2.2%. lifeShare of what is left is spent on the life
-	// of tokens, the rest on stock.
-	rateShare = 0.4
-	lifeShare = 0.5
-	// leastStock is the stock that comes before both, in tokens: a few at each of some allocators.
-	leastStock = 8
+	// shareErrorMargin is the part of the bounds that is reserved for nodes whose views of the
+	// membership differ, so that their shares add up to more than 1.
+	shareErrorMargin = 0.04
+	// minTokenTTL and maxTokenTTL bound the lifetime of tokens: several round-trip times between
+	// regions, and a time in which a busy tenant uses several tokens.
+	minTokenTTL = 100 * time.Millisecond
+	maxTokenTTL = 800 * time.Millisecond
+	// spareForRate is the part of what the bounds allow beyond the rate that is added to the rate
+	// of issue. spareForTTL is the part of the remainder that is used for the lifetime of tokens.
+	// The rest is used for the maximum balance.
+	spareForRate = 0.4
+	spareForTTL  = 0.5
+	// reservedBalance is the part of the maximum balance, in tokens, that is reserved before the
+	// rest is divided: a few tokens at each of several allocators.
+	reservedBalance = 8
 )
 
-// Limit returns the limit that keeps the promise for a quota: tokens used in a window were
-// handed out in it or at most Life before, which are Stock and Rate x (Window + Life).
+// Limit returns the limit that keeps the bounds for a quota. Tokens used in a window were granted
+// in it or at most TTL before, so there are at most MaxBalance + Rate x (Window + TTL).
 func (b Bounds) Limit(quota catalog.Quota) Limit {
-	most := b.Most(quota) / (1 + shareError)
+	maxOperations := b.Most(quota) / (1 + shareErrorMargin)
 	window := b.Window.Seconds()
-	limit := Limit{Rate: quota.PerSecond, Life: mostLife}
+	limit := Limit{Rate: quota.PerSecond, TTL: maxTokenTTL}
 	if limit.Rate == 0 {
-		return Limit{Life: mostLife}
+		return Limit{TTL: maxTokenTTL}
 	}
-	spare := most - limit.Rate*window
-	if least := limit.Rate * leastLife.Seconds(); spare < 2*least {
-		limit.Rate = most / (window + 2*leastLife.Seconds())
-		spare = most - limit.Rate*window
+	spare := maxOperations - limit.Rate*window
+	if ttlMargin := limit.Rate * minTokenTTL.Seconds(); spare < 2*ttlMargin {
+		limit.Rate = maxOperations / (window + 2*minTokenTTL.Seconds())
+		spare = maxOperations - limit.Rate*window
 	}
-	// A small tenant's stock comes first: parts of it lie at the allocators of several regions.
-	stock := min(leastStock, spare-limit.Rate*leastLife.Seconds())
-	spare -= stock
-	faster := limit.Rate + rateShare*(spare-limit.Rate*leastLife.Seconds())/window
-	spare -= (faster - limit.Rate) * window
-	limit.Rate = faster
-	life := min(max(lifeShare*spare/limit.Rate, leastLife.Seconds()), mostLife.Seconds())
-	limit.Life = time.Duration(life * float64(time.Second))
-	limit.Stock = stock + max(0, spare-limit.Rate*life)
+	// Reserve a small tenant's balance first, since parts of it are at the allocators of several
+	// regions.
+	maxBalance := min(reservedBalance, spare-limit.Rate*minTokenTTL.Seconds())
+	spare -= maxBalance
+	rate := limit.Rate + spareForRate*(spare-limit.Rate*minTokenTTL.Seconds())/window
+	spare -= (rate - limit.Rate) * window
+	limit.Rate = rate
+	ttl := min(max(spareForTTL*spare/limit.Rate, minTokenTTL.Seconds()), maxTokenTTL.Seconds())
+	limit.TTL = time.Duration(ttl * float64(time.Second))
+	limit.MaxBalance = maxBalance + max(0, spare-limit.Rate*ttl)
 	return limit
 }
 
-// Part is the tenants that one of several allocators serves: those whose hash leaves Index when
-// divided by Of.
+// Part is the set of tenants that one of several allocators serves: those whose hash modulo Count
+// is Index.
 type Part struct {
 	Index uint16
-	Of    uint16
+	Count uint16
 }
 
-// PartOf returns the part of a tenant among a number of parts.
-func PartOf(tenant string, of int) Part {
-	return Part{Index: uint16(xxhash.Sum64String(tenant) % uint64(max(1, of))), Of: uint16(max(1, of))}
+// PartOf returns the part of a tenant among count parts.
+func PartOf(tenant string, count int) Part {
+	return Part{Index: uint16(xxhash.Sum64String(tenant) % uint64(max(1, count))), Count: uint16(max(1, count))}
 }
 
 // Covers reports whether a tenant belongs to the part.
-func (p Part) Covers(tenant string) bool { return PartOf(tenant, int(p.Of)) == p }
+func (p Part) Covers(tenant string) bool { return PartOf(tenant, int(p.Count)) == p }
 
-// valid reports whether a part can be one.
-func (p Part) valid() bool { return p.Of > 0 && p.Index < p.Of }
+func (p Part) valid() bool { return p.Count > 0 && p.Index < p.Count }
 
-// Message is what nodes send each other; one of the two is set.
+// Message is a message between nodes. One of its fields is set.
 type Message struct {
 	Request *Request
 	Reply   *Reply
 }
 
-// Echo is an allocator's clock, as an asker has last heard it.
+// Echo is a reading of an allocator's clock.
 type Echo struct {
-	// Life names the allocator's process, Clock is the time since its start.
-	Life  uint64
-	Clock time.Duration
+	// Incarnation identifies the allocator's process, Clock is the time since its start.
+	Incarnation uint64
+	Clock       time.Duration
 }
 
-// Request asks an allocator for tokens, and delegates shares to it.
+// Request requests tokens from an allocator and delegates shares to it.
 type Request struct {
-	// Node names the asker, Sequence counts its requests.
+	// Node is the requester's name, Sequence the number of its request, Echo the last clock
+	// reading that it received from the allocator.
 	Node        string
 	Sequence    uint64
 	Echo        Echo
@@ -125,64 +128,65 @@
 	Wants       []Want
 }
 
-// Delegation delegates the asker's share of a part's tenants, until a span after the
-// moment that the request echoes.
+// Delegation delegates the requester's share of a part, until delegationDuration after the clock
+// reading that the request echoes.
 type Delegation struct {
 	Part  Part
 	Share float64
 }
 
-// Want asks for tokens of a tenant: Need for operations that wait, More to have some ahead.
+// Want requests tokens of a tenant: Need for waiting operations, Prefetch ahead of need.
 type Want struct {
-	Tenant string
-	Need   uint32
-	More   uint32
-	// Levels are the parts of Need by level, the most urgent first; those that are left out
-	// need none. An earlier version's want has none at all.
+	Tenant   string
+	Need     uint32
+	Prefetch uint32
+	// Levels splits Need by level, the most urgent first. Missing levels need none. Wants of the
+	// previous version have no levels.
 	Levels []uint32 `msgpack:"-"`
 }
 
-// Reply answers a request.
+// Reply is the reply to a Request.
 type Reply struct {
 	Sequence uint64
 	Clock    Echo
 	Grants   []Grant
-	// Leaving is set by an allocator whose process is about to end.
+	// Leaving is set if the allocator's process is about to end.
 	Leaving bool
 }
 
-// Grant hands out tokens: Count at once, and Later ones that are still to be minted, the
-// first after First and each further one after Pace.
+// Grant grants tokens: Count at once, and Future ones that are still to be issued, the first
+// after FirstDelay and each further one after Interval.
 type Grant struct {
-	Tenant string
-	Count  uint32
-	Later  uint32
-	First  time.Duration
-	Pace   time.Duration
-	// Life is how long a token is good: from when it was asked for, or will be minted.
-	Life time.Duration
-	// Dry is when there will be a token, if these are fewer than were needed. Young is set if
-	// the allocator has only just started.
-	Dry   time.Duration
-	Young bool
-	// Levels are the tokens by the level for which they are handed out: the first of them all
-	// for the most urgent level, and so on; what is left is anybody's. LevelsDry is Dry by
-	// level, zero for a level that was given what it needed. Both answer a want with levels.
-	Levels    []uint32        `msgpack:"-"`
-	LevelsDry []time.Duration `msgpack:"-"`
+	Tenant     string
+	Count      uint32
+	Future     uint32
+	FirstDelay time.Duration
+	Interval   time.Duration
+	// TTL is how long a token is valid, from the time when it was requested or will be issued.
+	TTL time.Duration
+	// RetryAfter is when there will be a token, if fewer than needed were granted. Starting is
+	// set if the allocator has only just started.
+	RetryAfter time.Duration
+	Starting   bool
+	// Levels splits the tokens by the level for which they are granted. The first tokens are for
+	// the most urgent level, and so on; those beyond the sum are for any level. LevelsRetryAfter
+	// is RetryAfter by level, zero for a level that got what it needs. Both are set for wants
+	// with levels.
+	Levels           []uint32        `msgpack:"-"`
+	LevelsRetryAfter []time.Duration `msgpack:"-"`
 }
 
-// Bounds of a request.
+// Limits of a request.
 const (
 	maxDelegations = 64
 	maxWants       = 256
 	maxCount       = 1 << 16
-	// maxLevels is how many levels a later version may know.
+	// maxLevels allows for the levels of later versions.
 	maxLevels = 16
 )
 
-// acceptable reports whether a request may be served.
-func (r *Request) acceptable() bool {
+// isValid reports whether a request may be served.
+func (r *Request) isValid() bool {
 	if r.Node == "" || len(r.Delegations) > maxDelegations || len(r.Wants) > maxWants {
 		return false
 	}
@@ -192,15 +196,15 @@
 		}
 	}
 	for _, w := range r.Wants {
-		if w.Need > maxCount || w.More > maxCount || len(w.Levels) > maxLevels {
+		if w.Need > maxCount || w.Prefetch > maxCount || len(w.Levels) > maxLevels {
 			return false
 		}
 	}
 	return true
 }
 
-// whole returns the whole tokens of an amount. What is a whole but for rounding counts.
-func whole(tokens float64) uint32 {
+// wholeTokens rounds an amount down to whole tokens, except for rounding errors.
+func wholeTokens(tokens float64) uint32 {
 	const rounding = 1e-9
 	return uint32(max(0, math.Floor(tokens+rounding)))
 }
--- a/internal/proxy/quota/take.go
+++ b/internal/proxy/quota/take.go
@@ -6,103 +6,102 @@
 	"dewknot/internal/proxy/urgency"
 )
 
-// Verdict is whether an operation may run.
+// Verdict is the result of Machine.Take.
 type Verdict struct {
 	Granted bool
-	// From and Until are when the token of a granted operation is good: it may have to wait
-	// a moment.
-	From  time.Time
-	Until time.Time
-	// Pending is set if an allocator is being asked: the operation is to ask again once
-	// something has come, and counts as waiting until then.
+	// ValidFrom and ValidUntil are when the token of a granted operation is valid. The operation
+	// may have to wait for ValidFrom.
+	ValidFrom  time.Time
+	ValidUntil time.Time
+	// Pending is set if an allocator is being asked. The operation counts as waiting and should
+	// call Take again once Machine.Ready reports true.
 	Pending bool
-	// After is when a refused operation may have a chance. Young is set if that is soon,
-	// since the allocators have only just started.
-	After time.Duration
-	Young bool
+	// RetryAfter is when a rejected operation should retry. Starting is set if that is soon
+	// because the allocators have only just started.
+	RetryAfter time.Duration
+	Starting   bool
 }
 
-// Take asks for a token for an operation of a level. waits is set if the operation waits
-// already.
-func (m *Machine) Take(now time.Time, tenant string, level urgency.Level, waits bool) Verdict {
-	w := m.balances[tenant]
-	if w == nil {
-		w = &balance{dry: map[string]*[urgency.Levels]time.Time{}}
-		m.balances[tenant] = w
+// Take asks for a token for an operation of a level. alreadyWaiting is set if the operation
+// counts as waiting from an earlier call.
+func (m *Machine) Take(now time.Time, tenant string, level urgency.Level, alreadyWaiting bool) Verdict {
+	t := m.tenants[tenant]
+	if t == nil {
+		t = &tenantTokens{exhausted: map[string]*[urgency.Levels]time.Time{}}
+		m.tenants[tenant] = t
 	}
-	w.used = now
-	if waits {
-		w.waiting[level]--
+	t.lastUsed = now
+	if alreadyWaiting {
+		t.waiting[level]--
 	}
-	if w.available(now, level) > 0 {
-		taken := w.take(now, level)
-		w.pace.add(now, 1)
-		m.askAhead(now, tenant, w)
-		return Verdict{Granted: true, From: taken.from, Until: taken.until}
+	if t.available(now, level) > 0 {
+		token := t.take(now, level)
+		t.demand.add(now, 1)
+		m.prefetchTokens(now, tenant, t)
+		return Verdict{Granted: true, ValidFrom: token.validFrom, ValidUntil: token.validUntil}
 	}
-	if !m.askable(now, tenant, w, int(level)) {
-		return Verdict{After: w.comeBack(now, int(level)), Young: w.young}
+	if !m.canRequest(now, tenant, t, int(level)) {
+		return Verdict{RetryAfter: t.retryAfter(now, int(level)), Starting: t.starting}
 	}
-	w.waiting[level]++
-	if w.asked == "" {
-		m.ask(now, tenant, w)
+	t.waiting[level]++
+	if t.pendingAllocator == "" {
+		m.requestTokens(now, tenant, t)
 	}
 	return Verdict{Pending: true}
 }
 
-// askable reports whether an allocator is being asked that may have a token for a level, or
-// one could be asked.
-func (m *Machine) askable(now time.Time, tenant string, w *balance, level int) bool {
-	if w.asked != "" && !w.isDry(w.asked, level, now) {
+// canRequest reports whether an allocator that may have a token for a level is being asked or can
+// be asked.
+func (m *Machine) canRequest(now time.Time, tenant string, t *tenantTokens, level int) bool {
+	if t.pendingAllocator != "" && !t.isExhausted(t.pendingAllocator, level, now) {
 		return true
 	}
-	_, found := m.allocatorFor(now, tenant, w, level)
+	_, found := m.allocatorFor(now, tenant, t, level)
 	return found
 }
 
-// Ready reports whether an operation of a level that waits for a token of a tenant should
-// ask again.
+// Ready reports whether a waiting operation of a level should call Take again.
 func (m *Machine) Ready(now time.Time, tenant string, level urgency.Level) bool {
-	w := m.balances[tenant]
-	return w == nil || w.asked == "" || w.available(now, level) > 0 || !m.askable(now, tenant, w, int(level))
+	t := m.tenants[tenant]
+	return t == nil || t.pendingAllocator == "" || t.available(now, level) > 0 || !m.canRequest(now, tenant, t, int(level))
 }
 
 // Abandon ends the wait of an operation.
 func (m *Machine) Abandon(tenant string, level urgency.Level) {
-	if w := m.balances[tenant]; w != nil && w.waiting[level] > 0 {
-		w.waiting[level]--
+	if t := m.tenants[tenant]; t != nil && t.waiting[level] > 0 {
+		t.waiting[level]--
 	}
 }
 
 // PutBack returns the token of an operation of a level that did not run.
-func (m *Machine) PutBack(now time.Time, tenant string, level urgency.Level, from, until time.Time) {
-	if w := m.balances[tenant]; w != nil && until.After(now) {
-		w.lots = append(w.lots, lot{count: 1, level: int(level), from: from, until: until})
+func (m *Machine) PutBack(now time.Time, tenant string, level urgency.Level, validFrom, validUntil time.Time) {
+	if t := m.tenants[tenant]; t != nil && validUntil.After(now) {
+		t.batches = append(t.batches, tokenBatch{count: 1, level: int(level), validFrom: validFrom, validUntil: validUntil})
 	}
 }
 
-// comeBack returns when one of the allocators will have a token for a level.
-func (w *balance) comeBack(now time.Time, level int) time.Duration {
+// retryAfter returns the time until one of the allocators has a token for a level.
+func (t *tenantTokens) retryAfter(now time.Time, level int) time.Duration {
 	first := time.Duration(0)
-	for _, dry := range w.dry {
-		if left := dry[level].Sub(now); left > 0 && (first == 0 || left < first) {
-			first = left
+	for _, exhausted := range t.exhausted {
+		if remaining := exhausted[level].Sub(now); remaining > 0 && (first == 0 || remaining < first) {
+			first = remaining
 		}
 	}
 	if first == 0 {
-		return unreachedPause
+		return unreachableRetryAfter
 	}
 	return first
 }
 
-// askAhead asks for tokens before they are wanted, for a tenant whose callers use several
-// while one is good.
-func (m *Machine) askAhead(now time.Time, tenant string, w *balance) {
+// prefetchTokens requests tokens ahead of need for a tenant that uses several within a token's
+// lifetime.
+func (m *Machine) prefetchTokens(now time.Time, tenant string, t *tenantTokens) {
 	limit, limited := m.cfg.Limits(tenant)
-	if !limited || w.asked != "" || now.Before(w.aheadFrom) {
+	if !limited || t.pendingAllocator != "" || now.Before(t.nextPrefetch) {
 		return
 	}
-	if more := w.pace.ahead(now, limit.Life); more > 0 && w.held(now) <= more/2 {
-		m.ask(now, tenant, w)
+	if count := t.demand.expected(now, limit.TTL); count > 0 && t.total(now) <= count/2 {
+		m.requestTokens(now, tenant, t)
 	}
 }
