--- a/internal/proxy/delta/delta.go
+++ b/internal/proxy/delta/delta.go
@@ -1,9 +1,8 @@
 // Package delta encodes a version of a text as its difference from an older one.
 //
-// Texts are cut into chunks at delimiters, so that an entry which is inserted or
-// removed leaves the chunks of its neighbours as they are. A chunk that the older
-// version has is copied from there, whatever its place. Checksums tell a receiver
-// that holds another base than the sender believed.
+// Texts are split into chunks at delimiters, so inserting or removing an entry leaves the chunks of
+// its neighbors unchanged. A chunk that occurs anywhere in the older version is copied from there.
+// Checksums detect a receiver whose base differs from the sender's.
 package delta
 
 import (
@@ -14,17 +13,17 @@
 )
 
 const (
-	// delimiter ends a chunk: it ends the entries of encoded lists of objects.
+	// delimiter ends a chunk. It is the last byte of the entries in encoded lists of objects.
 	delimiter = '}'
 	// maxChunkBytes bounds a chunk of a text without delimiters.
 	maxChunkBytes = 4 << 10
-	// MaxTargetBytes bounds the text that a patch may make.
+	// MaxTargetBytes bounds the result of a patch.
 	MaxTargetBytes = 16 << 20
 )
 
-// Patch makes a target text of its base.
+// Patch turns its base into a target text.
 type Patch struct {
-	// BaseSum and TargetSum are the checksums of both texts.
+	// BaseSum and TargetSum are the xxhash checksums of both texts.
 	BaseSum   uint64
 	TargetSum uint64
 	// TargetBytes is the length of the target.
@@ -32,36 +31,36 @@
 	Steps       []Step
 }
 
-// Step is one part of the target: bytes of the base, or inserted ones.
+// Step is one part of the target: either bytes copied from the base or inserted bytes.
 type Step struct {
-	// From and Length name bytes of the base; Length is 0 for an insertion.
+	// From and Length select bytes of the base; Length is 0 for an insertion.
 	From   int    `msgpack:",omitempty"`
 	Length int    `msgpack:",omitempty"`
 	Insert []byte `msgpack:",omitempty"`
 }
 
-// The ways in which a patch fails to apply.
+// Errors of Apply.
 var (
-	// ErrBase is returned if the patch is for another base.
-	ErrBase = errors.New("the patch is for another version; ask for the whole object")
-	// ErrInvalid is returned if the patch does not make the target that it claims.
-	ErrInvalid = errors.New("the patch is not valid; ask for the whole object")
+	// ErrBase is returned if the patch belongs to another base.
+	ErrBase = errors.New("the patch is for another version; request the complete object")
+	// ErrInvalid is returned if the patch does not produce the target that it describes.
+	ErrInvalid = errors.New("the patch is not valid; request the complete object")
 )
 
-// Make returns the patch that makes target of base.
+// Make returns the patch that turns base into target.
 func Make(base, target []byte) Patch {
-	known := map[string]int{}
-	for at := 0; at < len(base); {
-		size := chunkBytes(base[at:])
-		known[string(base[at:at+size])] = at
-		at += size
+	offsets := map[string]int{}
+	for position := 0; position < len(base); {
+		size := chunkBytes(base[position:])
+		offsets[string(base[position:position+size])] = position
+		position += size
 	}
 	patch := Patch{BaseSum: xxhash.Sum64(base), TargetSum: xxhash.Sum64(target), TargetBytes: len(target)}
-	for at := 0; at < len(target); {
-		size := chunkBytes(target[at:])
-		chunk := target[at : at+size]
-		at += size
-		if from, found := known[string(chunk)]; found {
+	for position := 0; position < len(target); {
+		size := chunkBytes(target[position:])
+		chunk := target[position : position+size]
+		position += size
+		if from, found := offsets[string(chunk)]; found {
 			patch.copyFrom(from, size)
 			continue
 		}
@@ -70,7 +69,7 @@
 	return patch
 }
 
-// chunkBytes returns the length of the first chunk of a text that is not empty.
+// chunkBytes returns the length of the first chunk of a nonempty text.
 func chunkBytes(text []byte) int {
 	limit := min(len(text), maxChunkBytes)
 	if at := bytes.IndexByte(text[:limit], delimiter); at >= 0 {
@@ -79,7 +78,7 @@
 	return limit
 }
 
-// copyFrom adds bytes of the base, to the last step if they follow its bytes.
+// copyFrom appends bytes of the base. It extends the last step if that is adjacent in the base.
 func (p *Patch) copyFrom(from, length int) {
 	if last := len(p.Steps) - 1; last >= 0 && p.Steps[last].Length > 0 && p.Steps[last].From+p.Steps[last].Length == from {
 		p.Steps[last].Length += length
@@ -88,7 +87,7 @@
 	p.Steps = append(p.Steps, Step{From: from, Length: length})
 }
 
-// insert adds bytes that the base lacks.
+// insert appends bytes that the base lacks.
 func (p *Patch) insert(chunk []byte) {
 	if last := len(p.Steps) - 1; last >= 0 && p.Steps[last].Length == 0 {
 		p.Steps[last].Insert = append(p.Steps[last].Insert, chunk...)
@@ -97,10 +96,10 @@
 	p.Steps = append(p.Steps, Step{Insert: bytes.Clone(chunk)})
 }
 
-// stepBytes is about the encoded size of a step without its insertion.
+// stepBytes is the approximate encoded size of a step without inserted bytes.
 const stepBytes = 20
 
-// Bytes returns about how large the encoded patch is.
+// Bytes returns the approximate encoded size of the patch.
 func (p *Patch) Bytes() int {
 	size := 0
 	for i := range p.Steps {
@@ -109,8 +108,8 @@
 	return size
 }
 
-// Apply returns the target. It fails with ErrBase for another base, and with
-// ErrInvalid for a patch that is damaged.
+// Apply returns the target. It fails with ErrBase for a different base and with ErrInvalid for a
+// damaged patch.
 func (p *Patch) Apply(base []byte) ([]byte, error) {
 	if xxhash.Sum64(base) != p.BaseSum {
 		return nil, ErrBase
--- a/internal/proxy/delta/delta_test.go
+++ b/internal/proxy/delta/delta_test.go
@@ -13,17 +13,17 @@
 	_ "dewknot/internal/base/propertytest" // fixes the seed
 )
 
-// TestPatchMakesTheTarget: whatever the texts, the patch of two makes the second of
-// the first, also after its way over the wire.
-func TestPatchMakesTheTarget(t *testing.T) {
+// TestPatchProducesTarget guards against a patch that, after encoding and decoding, does not produce
+// the target.
+func TestPatchProducesTarget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.Custom(func(t *rapid.T) []byte {
 			parts := rapid.SliceOfN(rapid.SampledFrom([]string{"}", "{a}", "{bb}", "longer text without end", strings.Repeat("x", 5000)}), 0, 30).Draw(t, "parts")
 			return []byte(strings.Join(parts, ""))
 		})
 		base, target := text.Draw(t, "base"), text.Draw(t, "target")
-		made := Make(base, target)
-		content, err := codec.Append(nil, &made)
+		patch := Make(base, target)
+		content, err := codec.Append(nil, &patch)
 		must.NoError(t, err)
 		var received Patch
 		must.NoError(t, codec.Decode(content, &received))
@@ -33,8 +33,8 @@
 	})
 }
 
-// entries returns a text of many entries, one of which may be changed, inserted or
-// left out.
+// entries returns a text of count entries. The arguments changed, inserted and omitted are the
+// positions of such an entry, or -1.
 func entries(count, changed, inserted, omitted int) []byte {
 	var text strings.Builder
 	for i := range count {
@@ -53,9 +53,8 @@
 	return []byte(text.String())
 }
 
-// TestPatchIsAsSmallAsTheChange: a few changed entries of thousands make a patch of
-// a few hundred bytes.
-func TestPatchIsAsSmallAsTheChange(t *testing.T) {
+// TestSmallChangeMakesSmallPatch guards against patches whose size grows with the text.
+func TestSmallChangeMakesSmallPatch(t *testing.T) {
 	base := entries(3000, -1, -1, -1)
 	for _, target := range [][]byte{entries(3000, 1500, -1, -1), entries(3000, -1, 20, -1), entries(3000, 7, 1000, 2999)} {
 		patch := Make(base, target)
@@ -63,8 +62,8 @@
 	}
 }
 
-// TestPatchRefuses: a patch that does not fit is an error, never a wrong text.
-func TestPatchRefuses(t *testing.T) {
+// TestInvalidPatchIsRejected guards against a wrong text or a panic from a patch that does not fit.
+func TestInvalidPatchIsRejected(t *testing.T) {
 	base, target := entries(10, -1, -1, -1), entries(10, 3, -1, -1)
 	valid := Make(base, target)
 	_, err := valid.Apply(target)
--- a/internal/proxy/delta/fuzz_test.go
+++ b/internal/proxy/delta/fuzz_test.go
@@ -6,8 +6,7 @@
 	"dewknot/internal/base/codec"
 )
 
-// FuzzPatch: whatever another node sends as a patch, applying it ends without a
-// panic, and a target that it makes has the size and checksum that it claims.
+// FuzzPatch guards against panics and wrong sizes from patches of other nodes.
 func FuzzPatch(f *testing.F) {
 	base := entries(20, -1, -1, -1)
 	for _, target := range [][]byte{nil, base, entries(20, 3, 5, 7)} {
@@ -25,7 +24,7 @@
 		}
 		target, err := patch.Apply(base)
 		if err == nil && len(target) != patch.TargetBytes {
-			t.Fatalf("%d bytes, %d claimed", len(target), patch.TargetBytes)
+			t.Fatalf("target has %d bytes, want %d", len(target), patch.TargetBytes)
 		}
 	})
 }
