--- a/internal/proxy/network/ask.go
+++ b/internal/proxy/network/ask.go
@@ -12,49 +12,49 @@
 	"dewknot/internal/proxy/upstream"
 )
 
-// MemberAnswer is an answer and the address of the node that gave it.
+// MemberAnswer is an answer together with the address of the node that sent it.
 type MemberAnswer struct {
 	relay.Answer
 	From string
 }
 
-// AskMembers asks other nodes at the same time and returns the answers that
-// came before ctx ended.
-func (n *Network) AskMembers(ctx context.Context, members []Member, question relay.Question) []MemberAnswer {
-	return n.gather(ctx, members, question, 0)
+// AskMembers sends a request to several nodes in parallel and returns the answers that arrived
+// before ctx ended.
+func (n *Network) AskMembers(ctx context.Context, members []Member, request relay.Question) []MemberAnswer {
+	return n.collectAnswers(ctx, members, request, 0)
 }
 
-// gather is askMembers, but with a grace it waits no longer than that after the
-// first answer that did not fail.
-func (n *Network) gather(ctx context.Context, members []Member, question relay.Question, grace time.Duration) []MemberAnswer {
+// collectAnswers implements AskMembers. With a positive grace it returns at the latest that long
+// after the first answer that did not fail.
+func (n *Network) collectAnswers(ctx context.Context, members []Member, request relay.Question, grace time.Duration) []MemberAnswer {
 	limited, cancel := context.WithCancel(ctx)
 	defer cancel()
-	answered := make(chan *MemberAnswer, len(members))
+	results := make(chan *MemberAnswer, len(members))
 	for _, member := range members {
-		go func() { answered <- n.askMember(limited, &member, question) }()
+		go func() { results <- n.askMember(limited, &member, request) }()
 	}
 	var answers []MemberAnswer
-	var enough <-chan time.Time
+	var graceOver <-chan time.Time
 	for range members {
 		select {
-		case answer := <-answered:
+		case answer := <-results:
 			if answer == nil {
 				continue
 			}
 			answers = append(answers, *answer)
-			if grace > 0 && !answer.Failed && enough == nil {
+			if grace > 0 && !answer.Failed && graceOver == nil {
 				timer := time.NewTimer(grace)
 				defer timer.Stop()
-				enough = timer.C
+				graceOver = timer.C
 			}
-		case <-enough:
+		case <-graceOver:
 			return answers
 		}
 	}
 	return answers
 }
 
-// AskToDemote asks another node to make a server give up the lead; nil if it did not.
+// AskToDemote asks another node to demote a primary. It returns nil if the server was not demoted.
 func (n *Network) AskToDemote(ctx context.Context, member *Member, server string) *upstream.Status {
 	answer := n.askMember(ctx, member, relay.Question{Server: server, StepDown: true})
 	if answer == nil || !answer.Reached {
@@ -63,15 +63,15 @@
 	return &upstream.Status{Received: answer.Received}
 }
 
-// askMember asks one node; nil if it does not answer. That its answer is no longer
-// wanted says nothing of the node, and is not logged.
-func (n *Network) askMember(ctx context.Context, member *Member, question relay.Question) *MemberAnswer {
+// askMember sends a request to one node and returns nil if there is no answer. A canceled request
+// says nothing about the node, so it is neither recorded nor logged.
+func (n *Network) askMember(ctx context.Context, member *Member, request relay.Question) *MemberAnswer {
 	began := time.Now()
-	answer, err := n.ports.Peers.Ask(ctx, member.Address, question)
+	answer, err := n.ports.Peers.Ask(ctx, member.Address, request)
 	if errors.Is(ctx.Err(), context.Canceled) {
 		return nil
 	}
-	n.peerAnswered(member.Address, err)
+	n.recordPeerAnswer(member.Address, err)
 	if err != nil {
 		n.Log.Write(eventlog.PeerSilent, zap.String("peer", member.Name), zap.String("address", member.Address),
 			zap.Duration("after", time.Since(began)), zap.Error(err))
--- a/internal/proxy/network/follow.go
+++ b/internal/proxy/network/follow.go
@@ -12,15 +12,16 @@
 	"dewknot/internal/proxy/objectstore"
 )
 
-// watchShare is the wait of a watch as a part of the bound within which its
-// changes have to be in force; the rest is for a watch that the store swallowed.
-// A reader's changes have a second way to go, so it waits for less.
+// The wait of a watch as a share of the time within which a change must be in force. The rest is
+// reserved for detecting a lost watch. A reader waits less, because other nodes learn of a change
+// only from the reader.
 const (
-	watchShare  = 0.55
-	readerShare = 0.4
+	watchWaitShare       = 0.55
+	readerWatchWaitShare = 0.4
 )
 
-// Follow starts the watches on configuration and directory.
+// Follow starts the watches of the configuration, the directory and the evacuations, the membership
+// loop, and the loading of this node's leases.
 func (n *Network) Follow(ctx context.Context) {
 	kinds := n.options.Kinds
 	bounds := map[string]time.Duration{kinds.Configuration: n.options.ConfigurationBound, kinds.Servers: n.options.DrainBound}
@@ -28,41 +29,41 @@
 		bounds[kinds.Evacuations] = n.options.EvacuationBound
 	}
 	for kind, bound := range bounds {
-		var heard func(time.Time)
+		var onAnswer func(time.Time)
 		if kind == kinds.Configuration {
-			heard = n.heardConfiguration
+			onAnswer = n.recordConfigurationAnswer
 		}
 		go objectstore.Follow(ctx, objectstore.FollowConfig{
-			Store: n.ports.Store, Others: &otherNodes{n}, Readers: &storeReaders{node: n, bound: bound, patience: MemberAnswerLimit},
-			Kind: kind, Wait: func() time.Duration { return n.watchWait(bound) }, Sink: n.caches[kind], Heard: heard,
+			Store: n.ports.Store, Others: &peerSource{n}, Readers: &storeReaders{node: n, bound: bound, timeout: MemberAnswerLimit},
+			Kind: kind, Wait: func() time.Duration { return n.watchWait(bound) }, Sink: n.caches[kind], Heard: onAnswer,
 		})
 	}
-	go n.keepMembership(ctx)
-	go n.duties.ReadLeases(ctx)
+	go n.maintainMembership(ctx)
+	go n.delegate.ReadLeases(ctx)
 }
 
-// evacuationSink takes the zones that are evacuated.
+// evacuationSink applies the list of evacuated zones.
 type evacuationSink struct{ *Network }
 
-// evacuationGrace is for how long after the store has come back from an older copy zones stay
-// evacuated that it does not name: the operator writes again what was lost within some seconds.
+// evacuationGrace is how long zones stay evacuated after the store was restored from an older copy
+// that does not list them. It gives the operator time to write the lost objects again.
 const evacuationGrace = 10 * time.Second
 
 // Confirmed implements objectstore.Sink.
 func (s *evacuationSink) Confirmed(time.Time) {}
 
 // Reset implements objectstore.Sink.
-func (s *evacuationSink) Reset([]objectstore.Object, era.Revision) { s.bringInForce() }
+func (s *evacuationSink) Reset([]objectstore.Object, era.Revision) { s.applyZones() }
 
 // Apply implements objectstore.Sink.
 func (s *evacuationSink) Apply(events []objectstore.Object, _ era.Revision) {
 	if len(events) > 0 {
-		s.bringInForce()
+		s.applyZones()
 	}
 }
 
-// bringInForce brings the zones that the cache holds into force.
-func (s *evacuationSink) bringInForce() {
+// applyZones applies the cached list of evacuated zones.
+func (s *evacuationSink) applyZones() {
 	objects, _, err := s.caches[s.options.Kinds.Evacuations].List()
 	if err != nil {
 		return
@@ -71,19 +72,19 @@
 	for _, object := range objects {
 		zones = append(zones, object.Name)
 	}
-	if left := s.graceLeft(); left > 0 {
+	if remaining := s.remainingGrace(); remaining > 0 {
 		for zone := range s.Catalog.Current().Evacuated {
 			zones = append(zones, zone)
 		}
-		time.AfterFunc(left, s.bringInForce)
+		time.AfterFunc(remaining, s.applyZones)
 	}
 	if s.Catalog.Evacuate(zones, time.Now()) {
 		s.Log.Write(eventlog.ZonesEvacuated, zap.Strings("zones", zones))
 	}
 }
 
-// graceLeft is for how much longer evacuations stay that the store does not name.
-func (s *evacuationSink) graceLeft() time.Duration {
+// remainingGrace returns how much longer evacuations missing from the store stay in force.
+func (s *evacuationSink) remainingGrace() time.Duration {
 	restored := s.restoredAt.Load()
 	if restored == 0 {
 		return 0
@@ -101,11 +102,12 @@
 	s.Log.Write(eventlog.StoreRegained, zap.String("watch", "evacuations"))
 }
 
+// configurationSink applies versions of the configuration.
 type configurationSink struct{ *Network }
 
 // Confirmed implements objectstore.Sink.
 func (s *configurationSink) Confirmed(time.Time) {
-	s.listedOnce.Do(func() { go s.adoptNewest() })
+	s.adoptNewestOnce.Do(func() { go s.adoptNewestConfiguration() })
 }
 
 // Reset implements objectstore.Sink.
@@ -143,6 +145,7 @@
 	s.Log.Write(eventlog.StoreRegained, zap.String("watch", "configuration"))
 }
 
+// directorySink applies the directory of servers.
 type directorySink struct{ *Network }
 
 // Confirmed implements objectstore.Sink.
@@ -166,7 +169,7 @@
 		}
 		server, ok := s.decode(event)
 		if !ok {
-			// An entry that cannot be read names no server to use, whatever it named before.
+			// A server whose entry became unreadable is no longer used.
 			changes = append(changes, catalog.Server{ID: event.Name, Gone: true, Revision: event.Revision})
 			continue
 		}
@@ -177,7 +180,7 @@
 	s.Catalog.MergeDirectory(changes, time.Now())
 }
 
-// decodeAll returns the servers that a listing names; entries that name none are left out.
+// decodeAll returns the servers of a listing and skips unreadable entries.
 func (s *directorySink) decodeAll(objects []objectstore.Object) []catalog.Server {
 	servers := make([]catalog.Server, 0, len(objects))
 	for _, object := range objects {
@@ -207,13 +210,13 @@
 	s.Log.Write(eventlog.StoreRegained, zap.String("watch", "directory"))
 }
 
-// RefuseEntry logs and counts an entry that cannot be read, once for each of its revisions.
+// RefuseEntry logs and counts an unreadable entry, once for each of its revisions.
 func (n *Network) RefuseEntry(kind string, object *objectstore.Object, reason error) {
-	if !n.refused.First(kind, object) {
+	if !n.refusedEntries.First(kind, object) {
 		return
 	}
-	if counted := n.ports.EntriesRefused; counted != nil {
-		counted.WithLabelValues(kind).Inc()
+	if counter := n.ports.EntriesRefused; counter != nil {
+		counter.WithLabelValues(kind).Inc()
 	}
 	n.Log.Write(eventlog.EntryRefused, zap.String("kind", kind), zap.String("entry", object.Name),
 		zap.Stringer("revision", object.Revision), zap.Error(reason))
--- a/internal/proxy/network/listings.go
+++ b/internal/proxy/network/listings.go
@@ -21,268 +21,267 @@
 	"dewknot/internal/proxy/relay"
 )
 
-// In a large fleet only the readers list members and leases at the store, and the others list
-// them at a reader: what all nodes list grows with the square of the fleet. 985 nodes that
-// started at once asked the store for 2 GB, over a link of 1,000 Mbit/s, and no caller was
-// served 18 s later. A node that starts finds the readers in one small object.
+// In a large fleet only the readers list members and leases at the store, and the other nodes
+// request the lists from them. Listings by all nodes would grow with the square of the fleet's
+// size and saturate the store's link when all nodes start at once. A starting node learns the
+// readers from one small object.
 const (
-	// sharedFrom is the size of a fleet from which that is so. The list of 128 members takes
-	// 32 KB: that each lists it costs the store 4 MB, a tenth of a second at 400 Mbit/s.
-	sharedFrom = 128
-	// readersName names the object that tells who the readers are.
-	readersName = "main"
-	// listingAge is how old a reader's listing may be when it answers: a change of a primary
-	// lets all nodes ask within some seconds.
-	listingAge = 2 * time.Second
-	// listingLimit bounds the time until a reader begins its answer: it may list itself first,
-	// page by page, over two regions.
-	listingLimit = 2500 * time.Millisecond
-	// sharedAsked is how many readers are asked for a listing before the store is.
-	sharedAsked = 3
-	// listingPace spreads what nodes list at the store itself when no reader answers: 200 a
-	// second, so that a list of 600 KB fills no link of 1,000 Mbit/s.
-	listingPace = 5 * time.Millisecond
+	// sharedListingMinNodes is the fleet size from which readers list for the other nodes. In
+	// smaller fleets the total size of the listings is small.
+	sharedListingMinNodes = 128
+	// readersObjectName is the name of the object that lists the readers.
+	readersObjectName = "main"
+	// maxListingAge is the maximum age of a reader's listing when it answers. After a change of a
+	// primary, all nodes ask within a few seconds.
+	maxListingAge = 2 * time.Second
+	// listingAnswerTimeout bounds the time until a reader begins its answer. The reader may first
+	// have to list, page by page, in another region.
+	listingAnswerTimeout = 2500 * time.Millisecond
+	// maxListingReaders is the number of readers asked for a listing before the store is.
+	maxListingReaders = 3
+	// storeListInterval is the mean interval, over the whole fleet, between listings at the store
+	// when no reader answers. It keeps the store's link from saturating.
+	storeListInterval = 5 * time.Millisecond
 )
 
-// readersObject is the content of the object that tells who the readers are.
+// readersObject is the content of the object that lists the readers.
 type readersObject struct {
-	// Nodes is about how many nodes the fleet has.
+	// Nodes is the number of nodes in the fleet, rounded up to nodeCountStep.
 	Nodes   int           `json:"nodes"`
 	Readers []namedMember `json:"readers"`
 }
 
-// nodesStep is the step in which the number of nodes is told, so that the object stays the same
-// while single nodes come and go.
-const nodesStep = 64
+// nodeCountStep is the step to which the number of nodes is rounded, so that the object does not
+// change when single nodes join or leave.
+const nodeCountStep = 64
 
-// namedMember is a member with its name, which its own entry does not hold.
+// namedMember is a member with its name, which Member does not encode.
 type namedMember struct {
 	Name string `json:"name"`
 	Member
 }
 
-// listing is a complete list of a kind, as the store told it at a time.
+// listing is a complete list of a kind and the time of its call to the store.
 type listing struct {
-	objects []objectstore.Object
-	sum     era.Revision
-	at      time.Time
+	objects  []objectstore.Object
+	checksum era.Revision
+	listedAt time.Time
 }
 
-// listings are what a reader has listed for others. It is safe for concurrent use.
-type listings struct {
+// listingCache holds what a reader has listed for others. It is safe for concurrent use.
+type listingCache struct {
 	mu     sync.Mutex
-	byKind map[string]*heldListing
+	byKind map[string]*cachedListing
 }
 
-// heldListing lets those who ask at the same time share one call to the store: who has the
-// token uses the listing, or makes a new one.
-type heldListing struct {
-	token chan struct{}
+// cachedListing lets concurrent requests share one call to the store. Whoever holds the lock uses
+// the listing or renews it.
+type cachedListing struct {
+	lock chan struct{}
 	listing
 }
 
-func (l *listings) of(kind string) *heldListing {
+func (l *listingCache) of(kind string) *cachedListing {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.byKind == nil {
-		l.byKind = map[string]*heldListing{}
+		l.byKind = map[string]*cachedListing{}
 	}
 	if l.byKind[kind] == nil {
-		l.byKind[kind] = &heldListing{token: make(chan struct{}, 1)}
+		l.byKind[kind] = &cachedListing{lock: make(chan struct{}, 1)}
 	}
 	return l.byKind[kind]
 }
 
-// sharedListings are the sums of the listings that readers have told last, and the readers
-// that the store named at the start. It is safe for concurrent use.
-type sharedListings struct {
-	mu      sync.Mutex
-	sums    map[string]era.Revision
-	readers []Member
-	nodes   int
+// receivedListings holds the checksums of the listings last received from readers, and the readers
+// that the store listed at the start. It is safe for concurrent use.
+type receivedListings struct {
+	mu        sync.Mutex
+	checksums map[string]era.Revision
+	readers   []Member
+	nodes     int
 }
 
-func (s *sharedListings) sum(kind string) era.Revision {
+func (s *receivedListings) checksum(kind string) era.Revision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.sums[kind]
+	return s.checksums[kind]
 }
 
-func (s *sharedListings) told(kind string, sum era.Revision) {
+func (s *receivedListings) setChecksum(kind string, checksum era.Revision) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.sums == nil {
-		s.sums = map[string]era.Revision{}
+	if s.checksums == nil {
+		s.checksums = map[string]era.Revision{}
 	}
-	s.sums[kind] = sum
+	s.checksums[kind] = checksum
 }
 
-// listedForOthers reports whether readers list a kind for others.
-func (n *Network) listedForOthers(kind string) bool {
+// servedByReaders reports whether readers list a kind for other nodes.
+func (n *Network) servedByReaders(kind string) bool {
 	return kind != "" && (kind == n.options.Kinds.Members || kind == n.options.Kinds.Leases)
 }
 
-// ListShared returns all objects of a kind, which may be seconds old: from a reader in a large
-// fleet, else from the store.
-func (n *Network) ListShared(ctx context.Context, kind string, limit time.Duration) ([]objectstore.Object, error) {
-	objects, _, err := n.listShared(ctx, kind, limit, 0)
+// ListShared returns all objects of a kind: from a reader in a large fleet, otherwise from the
+// store. They may be seconds old.
+func (n *Network) ListShared(ctx context.Context, kind string, timeout time.Duration) ([]objectstore.Object, error) {
+	objects, _, err := n.listShared(ctx, kind, timeout, 0)
 	return objects, err
 }
 
-// ListChanged is ListShared, but reports false in place of the objects if nothing has changed
-// since one of both last listed the kind.
-func (n *Network) ListChanged(ctx context.Context, kind string, limit time.Duration) (objects []objectstore.Object, changed bool, err error) {
-	return n.listShared(ctx, kind, limit, n.shared.sum(kind))
+// ListChanged is like ListShared but returns no objects, and changed false, if nothing has changed
+// since either method last listed the kind.
+func (n *Network) ListChanged(ctx context.Context, kind string, timeout time.Duration) (objects []objectstore.Object, changed bool, err error) {
+	return n.listShared(ctx, kind, timeout, n.received.checksum(kind))
 }
 
-func (n *Network) listShared(ctx context.Context, kind string, limit time.Duration, after era.Revision) (objects []objectstore.Object, changed bool, err error) {
-	n.awaitReadersFound(firstListLimit)
-	readers, reads := n.sharedReaders()
-	if len(readers) == 0 || reads {
-		objects, err = n.listStale(ctx, kind, limit)
+func (n *Network) listShared(ctx context.Context, kind string, timeout time.Duration, knownChecksum era.Revision) (objects []objectstore.Object, changed bool, err error) {
+	n.awaitReadersLookup(firstListTimeout)
+	readers, isReader := n.listingReaders()
+	if len(readers) == 0 || isReader {
+		objects, err = n.listStale(ctx, kind, timeout)
 		return objects, true, err
 	}
-	question := relay.Question{Kind: kind, Within: listingAge, After: after}
-	for i := range min(sharedAsked, len(readers)) {
-		answer, err := n.askPeer(ctx, readers[i].Address, question, listingLimit)
+	request := relay.Question{Kind: kind, MaxAge: maxListingAge, After: knownChecksum}
+	for i := range min(maxListingReaders, len(readers)) {
+		answer, err := n.askPeer(ctx, readers[i].Address, request, listingAnswerTimeout)
 		if err != nil || answer.Failed {
 			continue
 		}
-		if after != 0 && answer.Revision == after {
+		if knownChecksum != 0 && answer.Revision == knownChecksum {
 			return nil, false, nil
 		}
-		n.shared.told(kind, answer.Revision)
+		n.received.setChecksum(kind, answer.Revision)
 		return answer.Objects, true, nil
 	}
-	n.wait(ctx, rand.N(time.Duration(n.fleetSize())*listingPace))
-	objects, err = n.listStale(ctx, kind, limit)
+	n.wait(ctx, rand.N(time.Duration(n.fleetSize())*storeListInterval))
+	objects, err = n.listStale(ctx, kind, timeout)
 	return objects, true, err
 }
 
-// fleetSize is how many nodes the fleet has, as far as this one knows.
+// fleetSize returns the number of nodes in the fleet as far as known.
 func (n *Network) fleetSize() int {
-	n.shared.mu.Lock()
-	defer n.shared.mu.Unlock()
-	return max(n.KnownMembers()+1, n.shared.nodes)
+	n.received.mu.Lock()
+	defer n.received.mu.Unlock()
+	return max(n.KnownMembers()+1, n.received.nodes)
 }
 
 // listStale lists a kind at the store.
-func (n *Network) listStale(ctx context.Context, kind string, limit time.Duration) ([]objectstore.Object, error) {
-	limited, cancel := stall.WithLimit(ctx, limit, stalledLimit)
+func (n *Network) listStale(ctx context.Context, kind string, timeout time.Duration) ([]objectstore.Object, error) {
+	limited, cancel := stall.WithLimit(ctx, timeout, stallTimeout)
 	defer cancel()
 	return n.ports.Store.ListStale(limited, kind)
 }
 
-// sharedReaders returns the readers of a large fleet, those to ask first before others, and
-// whether this node is one; none in a fleet that is not large.
-func (n *Network) sharedReaders() (readers []Member, reads bool) {
+// listingReaders returns the readers of a large fleet in the order in which to ask them, and
+// whether this node is one. There are none in a smaller fleet.
+func (n *Network) listingReaders() (readers []Member, isReader bool) {
 	if n.ports.Peers == nil || n.options.Kinds.Readers == "" {
 		return nil, false
 	}
 	if set := n.readers(); set != nil {
-		if len(*set.members)+1 < sharedFrom {
+		if len(*set.members)+1 < sharedListingMinNodes {
 			return nil, false
 		}
-		return set.others, set.reads
+		return set.others, set.isReader
 	}
 	if n.Members.Load() != nil {
 		return nil, false
 	}
-	n.shared.mu.Lock()
-	defer n.shared.mu.Unlock()
-	reads = slices.ContainsFunc(n.shared.readers, func(m Member) bool { return m.Name == n.options.Name })
-	return n.shared.readers, reads
+	n.received.mu.Lock()
+	defer n.received.mu.Unlock()
+	isReader = slices.ContainsFunc(n.received.readers, func(m Member) bool { return m.Name == n.options.Name })
+	return n.received.readers, isReader
 }
 
-// bootReaders returns the readers that the store has named to this node, while it knows no
-// members; nil if there are none, or it knows some.
-func (n *Network) bootReaders(wait time.Duration) *readerSet {
-	n.awaitReadersFound(wait)
+// startupReaders returns the readers listed by the store while this node knows no members. It
+// returns nil if there are none or if members are known.
+func (n *Network) startupReaders(wait time.Duration) *readerSet {
+	n.awaitReadersLookup(wait)
 	if n.Members.Load() != nil {
 		return nil
 	}
-	readers, reads := n.sharedReaders()
+	readers, isReader := n.listingReaders()
 	if len(readers) == 0 {
 		return nil
 	}
-	return &readerSet{others: readers, reads: reads}
+	return &readerSet{others: readers, isReader: isReader}
 }
 
-// awaitReadersFound waits, but not for long, until it is known whether the store names readers.
-func (n *Network) awaitReadersFound(wait time.Duration) {
+// awaitReadersLookup waits, up to wait, for the store's list of readers.
+func (n *Network) awaitReadersLookup(wait time.Duration) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
-	case <-n.readersFound:
+	case <-n.readersLookupDone:
 	case <-timer.C:
 	}
 }
 
-// findReaders learns from the store who the readers of a large fleet are: before this node
-// knows any members.
-func (n *Network) findReaders(ctx context.Context, limit time.Duration) {
-	defer close(n.readersFound)
+// lookUpReaders reads the readers of a large fleet from the store, before any members are known.
+func (n *Network) lookUpReaders(ctx context.Context, timeout time.Duration) {
+	defer close(n.readersLookupDone)
 	if n.options.Kinds.Readers == "" || n.ports.Peers == nil {
 		return
 	}
-	limited, cancel := context.WithTimeout(ctx, limit)
+	limited, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	object, err := n.ports.Store.GetStale(limited, n.options.Kinds.Readers, readersName)
+	object, err := n.ports.Store.GetStale(limited, n.options.Kinds.Readers, readersObjectName)
 	if err != nil {
 		return
 	}
-	told, err := decodeReaders(object.Content)
+	content, err := decodeReaders(object.Content)
 	if err != nil {
 		n.RefuseEntry(n.options.Kinds.Readers, &object, err)
 		return
 	}
 	var readers []Member
-	for i := range told.Readers {
-		told.Readers[i].Member.Name = told.Readers[i].Name
-		readers = append(readers, told.Readers[i].Member)
+	for i := range content.Readers {
+		content.Readers[i].Member.Name = content.Readers[i].Name
+		readers = append(readers, content.Readers[i].Member)
 	}
 	rand.Shuffle(len(readers), func(i, j int) { readers[i], readers[j] = readers[j], readers[i] })
 	slices.SortStableFunc(readers, func(a, b Member) int {
 		return cmp.Compare(n.ZoneDistance(n.options.Zone, a.Zone), n.ZoneDistance(n.options.Zone, b.Zone))
 	})
-	n.shared.mu.Lock()
-	defer n.shared.mu.Unlock()
-	n.shared.readers, n.shared.nodes = readers, told.Nodes
+	n.received.mu.Lock()
+	defer n.received.mu.Unlock()
+	n.received.readers, n.received.nodes = readers, content.Nodes
 }
 
 func decodeReaders(content []byte) (readersObject, error) {
-	var told readersObject
-	if err := json.Unmarshal(content, &told); err != nil {
-		return told, &objectstore.EntryError{Kind: "readers", Name: readersName, Reason: err.Error()}
+	var decoded readersObject
+	if err := json.Unmarshal(content, &decoded); err != nil {
+		return decoded, &objectstore.EntryError{Kind: "readers", Name: readersObjectName, Reason: err.Error()}
 	}
-	return told, nil
+	return decoded, nil
 }
 
-// answerListing answers a question for a listing that is not older than the question allows.
-func (n *Network) answerListing(ctx context.Context, question *relay.Question) relay.Answer {
-	held := n.listings.of(question.Kind)
+// answerListing answers a request for a listing of a limited age.
+func (n *Network) answerListing(ctx context.Context, request *relay.Question) relay.Answer {
+	cached := n.listingCache.of(request.Kind)
 	select {
-	case held.token <- struct{}{}:
-		defer func() { <-held.token }()
+	case cached.lock <- struct{}{}:
+		defer func() { <-cached.lock }()
 	case <-ctx.Done():
 		return relay.Answer{Failed: true, Outcome: objectstore.NotDone}
 	}
-	if time.Since(held.at) > question.Within {
+	if time.Since(cached.listedAt) > request.MaxAge {
 		began := time.Now()
-		objects, err := n.listStale(ctx, question.Kind, StoreCallLimit)
+		objects, err := n.listStale(ctx, request.Kind, StoreCallLimit)
 		if err != nil {
 			return relay.Answer{Failed: true, Outcome: objectstore.OutcomeOf(err)}
 		}
-		held.listing = listing{objects: objects, sum: sumOf(objects), at: began}
+		cached.listing = listing{objects: objects, checksum: checksumOf(objects), listedAt: began}
 	}
-	if held.sum == question.After {
-		return relay.Answer{Revision: held.sum}
+	if cached.checksum == request.After {
+		return relay.Answer{Revision: cached.checksum}
 	}
-	return relay.Answer{Objects: held.objects, Revision: held.sum}
+	return relay.Answer{Objects: cached.objects, Revision: cached.checksum}
 }
 
-// sumOf returns a number that differs for different listings; never 0.
-func sumOf(objects []objectstore.Object) era.Revision {
+// checksumOf returns a checksum of the names and revisions in a listing. It is never 0.
+func checksumOf(objects []objectstore.Object) era.Revision {
 	digest := xxhash.New()
 	for i := range objects {
 		_, _ = digest.WriteString(objects[i].Name)
@@ -291,36 +290,36 @@
 	return era.Revision(max(digest.Sum64(), 1))
 }
 
-// tellReaders writes who the readers are, if that has changed, for nodes that start: the first
-// reader in a ranking does so.
-func (n *Network) tellReaders(ctx context.Context) {
+// publishReaders writes the list of readers for starting nodes if it has changed. Only the first
+// reader in the ranking does so.
+func (n *Network) publishReaders(ctx context.Context) {
 	set := n.readers()
-	if set == nil || !set.reads || len(*set.members)+1 < sharedFrom || n.options.Kinds.Readers == "" {
+	if set == nil || !set.isReader || len(*set.members)+1 < sharedListingMinNodes || n.options.Kinds.Readers == "" {
 		return
 	}
-	readers := n.allReaders(set)
+	readers := n.rankedReaders(set)
 	if len(readers) == 0 || readers[0].Name != n.options.Name {
 		return
 	}
 	limited, cancel := context.WithTimeout(ctx, StoreCallLimit)
 	defer cancel()
 	kind := n.options.Kinds.Readers
-	nodes := (len(*set.members)/nodesStep + 1) * nodesStep
+	nodes := (len(*set.members)/nodeCountStep + 1) * nodeCountStep
 	content, err := json.Marshal(readersObject{Nodes: nodes, Readers: namedMembers(readers)})
 	if err != nil {
 		n.Log.Write(eventlog.EntryRefused, zap.String("kind", kind), zap.Error(err))
 		return
 	}
-	object, err := n.ports.Store.Get(limited, kind, readersName)
+	object, err := n.ports.Store.Get(limited, kind, readersObjectName)
 	switch {
 	case err != nil && objectstore.OutcomeOf(err) == objectstore.NotFound:
-		_, err = n.ports.Store.Create(limited, kind, readersName, content)
+		_, err = n.ports.Store.Create(limited, kind, readersObjectName, content)
 	case err == nil && !slices.Equal(object.Content, content):
-		_, err = n.ports.Store.Replace(limited, kind, readersName, object.Revision, content)
+		_, err = n.ports.Store.Replace(limited, kind, readersObjectName, object.Revision, content)
 	}
 	if err != nil {
-		// The next look at the members tells it.
-		n.Log.Write(eventlog.StoreLost, zap.String("call", "tell readers"), zap.Error(err))
+		// The next poll of the members retries.
+		n.Log.Write(eventlog.StoreLost, zap.String("call", "publish readers"), zap.Error(err))
 	}
 }
 
@@ -332,8 +331,8 @@
 	return named
 }
 
-// allReaders returns all readers of a set in one order for all nodes.
-func (n *Network) allReaders(set *readerSet) []Member {
+// rankedReaders returns all readers of a set in an order that is the same on all nodes.
+func (n *Network) rankedReaders(set *readerSet) []Member {
 	var candidates []placement.Candidate
 	byName := map[string]Member{}
 	for _, reader := range set.all {
--- a/internal/proxy/network/members.go
+++ b/internal/proxy/network/members.go
@@ -13,114 +13,112 @@
 	"dewknot/internal/proxy/relay"
 )
 
-// Member is a node's entry in the store, by which others find it.
+// Member is a node's entry in the store, by which other nodes find it.
 type Member struct {
 	Name    string `json:"-"`
 	Address string `json:"address"`
 	Zone    string `json:"zone,omitempty"`
-	// Messages is where messages of the agreement reach the node.
+	// Messages is the address for messages of the tenure protocol.
 	Messages string `json:"messages,omitempty"`
-	// Tokens is where messages about tenants' tokens reach the node.
+	// Tokens is the address for messages about tenants' tokens.
 	Tokens string `json:"tokens,omitempty"`
-	// Revision is the entry's.
+	// Revision is the revision of the entry.
 	Revision era.Revision `json:"-"`
-	// Capacity is what the node may use. Nodes of an earlier version tell none.
+	// Capacity is what the node may use. Nodes of earlier versions don't report it.
 	Capacity Capacity `json:"capacity,omitzero"`
 }
 
-// Peers asks other nodes.
+// Peers sends requests to other nodes.
 type Peers interface {
-	Ask(ctx context.Context, address string, question relay.Question) (relay.Answer, error)
+	Ask(ctx context.Context, address string, request relay.Question) (relay.Answer, error)
 	// Link opens a connection on which the other node serves operations.
 	Link(ctx context.Context, address string) (net.Conn, error)
 }
 
-// Times of the membership.
+// Timing of the membership.
 const (
-	// firstMemberLook is about when nodes that start together see each other, of which
-	// each enters itself at once; secondMemberLook is the pause until a look for those
-	// that were late.
-	firstMemberLook  = 700 * time.Millisecond
-	secondMemberLook = 2 * time.Second
-	// firstStartLook is when, after its start, a node looks the second time while a whole
-	// fleet starts for the first time, within firstStartSpread: all have entered themselves
-	// after about 1.1 s, and a list may be a second old. A node that looks later serves
-	// later.
-	firstStartLook   = 2200 * time.Millisecond
-	firstStartSpread = 600 * time.Millisecond
-	MemberLook       = 40 * time.Second
-	// settleLimit bounds the wait, from a node's start, for a list of members that is
-	// likely complete, firstSettleLimit the same while a whole fleet starts for the first
-	// time. A list may be seconds old then, and nodes that go by the first one take
-	// themselves and others for readers by chance: of 300 nodes, 204 listed and watched the
-	// store. So the second one is awaited; callers come later.
-	settleLimit      = 1500 * time.Millisecond
-	firstSettleLimit = 5 * time.Second
-	// leasesLook is about the pause until all nodes that start together have made
-	// their leases.
-	leasesLook  = 6 * time.Second
-	memberRetry = 2 * time.Second
+	// firstMembersPollDelay is the mean delay after which nodes that start together list each
+	// other. secondMembersPollDelay is the mean delay until the list that includes late ones.
+	firstMembersPollDelay  = 700 * time.Millisecond
+	secondMembersPollDelay = 2 * time.Second
+	// firstStartPollDelay is when, after its start, a node polls the members for the second time
+	// during the first start of a fleet, spread over firstStartPollSpread. By then all nodes have
+	// written their entries, and the list, which may be a second old, includes them.
+	firstStartPollDelay  = 2200 * time.Millisecond
+	firstStartPollSpread = 600 * time.Millisecond
+	// MemberLook is the mean interval between polls of the members.
+	MemberLook = 40 * time.Second
+	// settleTimeout bounds the wait, from a node's start, for a list of members that is likely
+	// complete. firstStartSettleTimeout applies to the first start of a fleet, where the first
+	// list is incomplete: nodes that rely on it choose wrong readers, so the second one is
+	// awaited.
+	settleTimeout           = 1500 * time.Millisecond
+	firstStartSettleTimeout = 5 * time.Second
+	// leasesPollDelay is the mean delay until nodes that start together have created their
+	// leases.
+	leasesPollDelay   = 6 * time.Second
+	membersRetryDelay = 2 * time.Second
 )
 
-// keepMembership enters this node among the members and looks at them at long
-// intervals. A list that is old costs a few questions that nobody answers.
-func (n *Network) keepMembership(ctx context.Context) {
-	n.findMembers(ctx)
-	n.waitAbout(ctx, firstMemberLook)
-	for ctx.Err() == nil && !n.lookAtMembers(ctx) {
-		n.settledUnlessFirst()
-		n.waitAbout(ctx, memberRetry)
+// maintainMembership writes this node's entry and polls the members at long intervals. An outdated
+// list only costs a few unanswered requests.
+func (n *Network) maintainMembership(ctx context.Context) {
+	n.discoverMembers(ctx)
+	n.waitJittered(ctx, firstMembersPollDelay)
+	for ctx.Err() == nil && !n.pollMembers(ctx) {
+		n.markMembersSettledUnlessFirstStart()
+		n.waitJittered(ctx, membersRetryDelay)
 	}
-	n.settledUnlessFirst()
-	n.awaitSecondLook(ctx)
-	for ctx.Err() == nil && !n.completeStart(ctx) {
-		n.waitAbout(ctx, memberRetry)
+	n.markMembersSettledUnlessFirstStart()
+	n.awaitSecondPoll(ctx)
+	for ctx.Err() == nil && !n.finishStart(ctx) {
+		n.waitJittered(ctx, membersRetryDelay)
 	}
-	n.waitAbout(ctx, leasesLook)
-	n.duties.LookAtLeases(ctx)
+	n.waitJittered(ctx, leasesPollDelay)
+	n.delegate.LookAtLeases(ctx)
 	var watched neighbor
-	n.tellReaders(ctx)
+	n.publishReaders(ctx)
 	for ctx.Err() == nil {
-		n.waitAbout(ctx, MemberLook)
-		if n.lookAtMembers(ctx) {
-			n.tellReaders(ctx)
+		n.waitJittered(ctx, MemberLook)
+		if n.pollMembers(ctx) {
+			n.publishReaders(ctx)
 			n.checkNeighbor(ctx, &watched)
 		}
 	}
 }
 
-// awaitSecondLook waits until it is time for the second look at the members.
-func (n *Network) awaitSecondLook(ctx context.Context) {
+// awaitSecondPoll waits until the second poll of the members is due.
+func (n *Network) awaitSecondPoll(ctx context.Context) {
 	if !n.options.FirstStart {
-		n.waitAbout(ctx, secondMemberLook)
+		n.waitJittered(ctx, secondMembersPollDelay)
 		return
 	}
-	n.wait(ctx, time.Until(n.Started.Add(firstStartLook+rand.N(firstStartSpread))))
+	n.wait(ctx, time.Until(n.Started.Add(firstStartPollDelay+rand.N(firstStartPollSpread))))
 }
 
-// completeStart takes the second list of members and what depends on it, and reports
-// whether all is done.
-func (n *Network) completeStart(ctx context.Context) bool {
-	if !n.lookAtMembers(ctx) {
+// finishStart takes the second list of members and does what depends on it. It reports whether all
+// of that succeeded.
+func (n *Network) finishStart(ctx context.Context) bool {
+	if !n.pollMembers(ctx) {
 		return false
 	}
-	n.settled()
-	if !n.duties.TakeShare(false, time.Now()) {
+	n.markMembersSettled()
+	if !n.delegate.TakeShare(false, time.Now()) {
 		return false
 	}
-	// Leases are made for the configuration's services, and it may come only now.
-	n.duties.AwaitInformed()
-	return n.duties.MakeLeases(ctx)
+	// Leases are created for the configuration's services, so wait for the configuration.
+	n.delegate.AwaitInformed()
+	return n.delegate.MakeLeases(ctx)
 }
 
-// waitAbout waits for half to one and a half times a span, so that the calls of
-// many nodes are spread.
-func (n *Network) waitAbout(ctx context.Context, span time.Duration) {
-	n.wait(ctx, span/2+rand.N(span))
+// waitJittered waits between 0.5 and 1.5 times the mean, so that the calls of many nodes are
+// spread.
+func (n *Network) waitJittered(ctx context.Context, mean time.Duration) {
+	n.wait(ctx, mean/2+rand.N(mean))
 }
 
-func (n *Network) wait(ctx context.Context, span time.Duration) {
-	timer := time.NewTimer(span)
+func (n *Network) wait(ctx context.Context, duration time.Duration) {
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -128,27 +126,28 @@
 	}
 }
 
-// settled notes that the list of members is as complete as it will soon be.
-func (n *Network) settled() { n.settledOnce.Do(func() { close(n.membersSettled) }) }
+// markMembersSettled records that the list of members is as complete as it will soon be.
+func (n *Network) markMembersSettled() { n.membersSettledOnce.Do(func() { close(n.membersSettled) }) }
 
-// settledUnlessFirst is settled, except while a whole fleet starts for the first time.
-func (n *Network) settledUnlessFirst() {
+// markMembersSettledUnlessFirstStart calls markMembersSettled, except during the first start of a
+// fleet.
+func (n *Network) markMembersSettledUnlessFirstStart() {
 	if !n.options.FirstStart {
-		n.settled()
+		n.markMembersSettled()
 	}
 }
 
-// awaitSettled waits until it is likely known how many other nodes there are: of a large
-// fleet that starts, each would else watch the store for a moment.
-func (n *Network) awaitSettled(ctx context.Context) {
+// awaitMembersSettled waits until the number of other nodes is likely known. Without it, every node
+// of a large fleet that starts would watch the store for a moment.
+func (n *Network) awaitMembersSettled(ctx context.Context) {
 	if n.ports.Peers == nil {
 		return
 	}
-	limit := settleLimit
+	timeout := settleTimeout
 	if n.options.FirstStart {
-		limit = firstSettleLimit
+		timeout = firstStartSettleTimeout
 	}
-	timer := time.NewTimer(time.Until(n.Started.Add(limit)))
+	timer := time.NewTimer(time.Until(n.Started.Add(timeout)))
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -157,7 +156,7 @@
 	}
 }
 
-// OwnMember returns what this node tells others of itself.
+// OwnMember returns this node's entry.
 func (n *Network) OwnMember() Member {
 	return Member{
 		Name: n.options.Name, Address: n.options.PeerAddress, Zone: n.options.Zone,
@@ -165,21 +164,20 @@
 	}
 }
 
-// lookAtMembers lists the members and enters this node if it is missing.
-func (n *Network) lookAtMembers(ctx context.Context) bool {
+// pollMembers lists the members and writes this node's entry if it is missing or outdated.
+func (n *Network) pollMembers(ctx context.Context) bool {
 	own, err := n.ListMembers(ctx, StoreCallLimit)
-	return err == nil && n.ensureEntry(ctx, own)
+	return err == nil && n.ensureOwnEntry(ctx, own)
 }
 
-// ensureEntry enters this node among the members unless its entry, nil if there is
-// none, says what it should.
-func (n *Network) ensureEntry(ctx context.Context, own *objectstore.Object) bool {
+// ensureOwnEntry writes this node's entry unless own, the listed entry or nil, is up to date.
+func (n *Network) ensureOwnEntry(ctx context.Context, own *objectstore.Object) bool {
 	if n.options.PeerAddress == "" {
 		return true
 	}
 	entry := Member{Name: n.options.Name}
-	if own == nil && time.Since(n.enteredAt) < MemberLook {
-		// A list that lacks the entry may be older than it.
+	if own == nil && time.Since(n.ownEntryWrittenAt) < MemberLook {
+		// The list may be older than the entry.
 		return true
 	}
 	if own != nil && json.Unmarshal(own.Content, &entry) == nil && entry == n.OwnMember() {
@@ -187,30 +185,30 @@
 	}
 	limited, cancel := context.WithTimeout(ctx, StoreCallLimit)
 	defer cancel()
-	if !n.enter(limited, own) {
+	if !n.writeOwnEntry(limited, own) {
 		return false
 	}
-	n.enteredAt = time.Now()
+	n.ownEntryWrittenAt = time.Now()
 	return true
 }
 
-// ListMembers takes the other members from the store and returns this node's own
-// entry, nil if there is none. The limit bounds the time until the list begins to come.
-func (n *Network) ListMembers(ctx context.Context, limit time.Duration) (*objectstore.Object, error) {
-	objects, changed, err := n.ListChanged(ctx, n.options.Kinds.Members, limit)
+// ListMembers updates the members from the store and returns this node's own entry, or nil if there
+// is none. The timeout bounds the time until the list begins to arrive.
+func (n *Network) ListMembers(ctx context.Context, timeout time.Duration) (*objectstore.Object, error) {
+	objects, changed, err := n.ListChanged(ctx, n.options.Kinds.Members, timeout)
 	if err != nil {
 		return nil, err
 	}
 	if !changed {
 		return n.ownEntry, nil
 	}
-	n.ownEntry = n.takeMembers(objects)
+	n.ownEntry = n.applyMembers(objects)
 	return n.ownEntry, nil
 }
 
-// takeMembers takes the other members from a listing of all, and returns this node's
-// own entry, nil if there is none.
-func (n *Network) takeMembers(objects []objectstore.Object) *objectstore.Object {
+// applyMembers takes the other members from a complete list and returns this node's own entry, or
+// nil if there is none.
+func (n *Network) applyMembers(objects []objectstore.Object) *objectstore.Object {
 	var own *objectstore.Object
 	members := make([]Member, 0, len(objects))
 	listedEra := uint64(0)
@@ -227,12 +225,12 @@
 		}
 		members = append(members, member)
 	}
-	members = n.keepMembers(members, listedEra)
-	n.placeMembers(members)
+	members = n.retainMembers(members, listedEra)
+	n.recordMemberZones(members)
 	if n.Members.Swap(&members) == nil {
 		close(n.membersKnown)
 	}
-	n.duties.MembersChanged()
+	n.delegate.MembersChanged()
 	return own
 }
 
@@ -247,29 +245,29 @@
 	return nil
 }
 
-// AwaitMembers waits, but not past a deadline, until a node that has just started
-// knows how many others there are: one that does not know would open connections
-// as if it were alone. It reports whether connections may be opened.
+// AwaitMembers waits until the number of other nodes is known or the deadline has passed. A node
+// that doesn't know the others would open as many connections as if it were alone. It reports
+// whether connections may be opened.
 func (n *Network) AwaitMembers(deadline time.Time) bool {
 	if n.Members.Load() != nil || n.ports.Peers == nil {
 		return true
 	}
-	patience := time.Until(n.Started.Add(MembersPatience))
-	timer := time.NewTimer(min(time.Until(deadline), patience))
+	remaining := time.Until(n.Started.Add(MembersPatience))
+	timer := time.NewTimer(min(time.Until(deadline), remaining))
 	defer timer.Stop()
 	select {
 	case <-n.membersKnown:
 		return true
 	case <-timer.C:
-		return patience <= 0
+		return remaining <= 0
 	}
 }
 
-// MembersPatience is how long after its start a node waits for a list of members.
+// MembersPatience bounds, from a node's start, the wait for a list of members.
 const MembersPatience = 10 * time.Second
 
-// enter writes this node's entry, in place of an old one if there is one.
-func (n *Network) enter(ctx context.Context, old *objectstore.Object) bool {
+// writeOwnEntry writes this node's entry, replacing an old one unless that is nil.
+func (n *Network) writeOwnEntry(ctx context.Context, old *objectstore.Object) bool {
 	content, err := json.Marshal(n.OwnMember())
 	if err != nil {
 		return false
@@ -282,46 +280,45 @@
 	return err == nil
 }
 
-// KnownMembers returns how many other nodes this node knows.
+// KnownMembers returns the number of other nodes that this node knows.
 func (n *Network) KnownMembers() int {
-	if known := n.Members.Load(); known != nil {
-		return len(*known)
+	if members := n.Members.Load(); members != nil {
+		return len(*members)
 	}
 	return 0
 }
 
-// SomeMembers returns up to count other nodes, chosen at random.
+// SomeMembers returns up to count other nodes in random order.
 func (n *Network) SomeMembers(count int) []Member {
-	known := n.Members.Load()
-	if known == nil || n.ports.Peers == nil {
+	members := n.Members.Load()
+	if members == nil || n.ports.Peers == nil {
 		return nil
 	}
-	chosen := slices.Clone(*known)
+	chosen := slices.Clone(*members)
 	rand.Shuffle(len(chosen), func(i, j int) { chosen[i], chosen[j] = chosen[j], chosen[i] })
 	return chosen[:min(count, len(chosen))]
 }
 
-// Capacity is what a node may use of its machine; zero for what is not known.
+// Capacity is what a node may use of its machine. Unknown values are zero.
 type Capacity struct {
-	// Processors is how many processors' time it may use.
+	// Processors is the processor time that the node may use, in processors.
 	Processors float64 `json:"processors,omitempty"`
-	// LinkMbps is what its link carries, in Mbit/s.
+	// LinkMbps is the bandwidth of the node's link in Mbit/s.
 	LinkMbps float64 `json:"link,omitempty"`
-	// MemoryMB is its memory in MiB.
+	// MemoryMB is the node's memory in MiB.
 	MemoryMB int `json:"memory,omitempty"`
 }
 
-// What work on a server's connections uses beside a whole processor: about 5,000 statements
-// a second take one at the owner, and with 300 bytes of request and answer each way they
-// fill 25 Mbit/s. Sessions and answers that wait for slow askers are held in memory; a quarter
-// of a GiB bears as many as a processor.
+// What work on servers' connections needs besides one processor. A processor serves about 5,000
+// statements a second, which with 300 bytes per request and answer use 25 Mbit/s. Memory holds
+// sessions and the answers to slow clients.
 const (
 	linkMbpsPerProcessor = 25
 	memoryMBPerProcessor = 256
 )
 
-// Weight is how much of other nodes' work a node can own: the scarcest of what it tells, as
-// the number of processors of which the rest would be in proportion. Zero if it tells none.
+// Weight returns the node's relative share of shared work: its scarcest resource, expressed as a
+// number of processors. It is zero if no resource is known.
 func (c Capacity) Weight() float64 {
 	weight := 0.0
 	for _, part := range []float64{c.Processors, c.LinkMbps / linkMbpsPerProcessor, float64(c.MemoryMB) / memoryMBPerProcessor} {
--- a/internal/proxy/network/metered_store.go
+++ b/internal/proxy/network/metered_store.go
@@ -10,10 +10,10 @@
 	"dewknot/internal/proxy/objectstore"
 )
 
-// MetricsNamespace begins the names of all metrics.
+// MetricsNamespace is the prefix of all metric names.
 const MetricsNamespace = "dewknot"
 
-// storeCalls counts a node's calls by call and kind. It is safe for concurrent use.
+// storeCalls counts calls to the store by call and kind. It is safe for concurrent use.
 type storeCalls struct {
 	mu    sync.Mutex
 	count map[string]int
@@ -28,30 +28,31 @@
 	c.count[call+" "+kind]++
 }
 
-// told returns the counts for a log line.
-func (c *storeCalls) told() map[string]int {
+// snapshot returns a copy of the counts.
+func (c *storeCalls) snapshot() map[string]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return maps.Clone(c.count)
 }
 
-// meteredStore counts the calls to the store, which are priced.
+// meteredStore counts the calls to the store, which may be billed per call, and records whether the
+// store is reachable.
 type meteredStore struct {
 	objectstore.Store
 	node *Network
 }
 
-// count counts a call by what it asked and how it ended.
+// count records a call and its outcome.
 func (m *meteredStore) count(call, kind string, err error) {
 	outcome := "done"
 	if err != nil {
 		outcome = objectstore.OutcomeOf(err).String()
 	}
 	m.node.calls.add(call, kind)
-	if counted := m.node.ports.StoreCalls; counted != nil {
-		counted.WithLabelValues(call, kind, outcome).Inc()
+	if counter := m.node.ports.StoreCalls; counter != nil {
+		counter.WithLabelValues(call, kind, outcome).Inc()
 	}
-	m.node.reachability.store(outcome != objectstore.Unknown.String(), time.Now())
+	m.node.reachability.recordStore(outcome != objectstore.Unknown.String(), time.Now())
 }
 
 // List implements objectstore.Store.
--- a/internal/proxy/network/network.go
+++ b/internal/proxy/network/network.go
@@ -1,9 +1,8 @@
-// Package network is what a node knows of the configuration, the directory of servers and
-// the other nodes, and how it learns of them: a few nodes of each zone watch the store, the
-// others ask them, and while the store is away nodes tell each other.
+// Package network maintains a node's view of the configuration, the directory of servers and the
+// other nodes. In a large fleet a few nodes of each zone, the readers, watch the store and the
+// other nodes ask them. While the store is unavailable, nodes exchange what they know.
 //
-// What the rest of the node does as members come and go, and what it answers other nodes,
-// stands behind the interface Duties.
+// The rest of the node is reached through the interface Duties.
 package network
 
 import (
@@ -21,32 +20,33 @@
 	"dewknot/internal/proxy/upstream"
 )
 
-// Duties is what the rest of the node does as the network becomes known, and what it
-// answers other nodes.
+// Duties is implemented by the rest of the node. It is notified of changes, and it answers the
+// requests of other nodes that concern servers.
 type Duties interface {
-	// MembersChanged takes note that the list of members has changed.
+	// MembersChanged is called when the list of members has changed.
 	MembersChanged()
-	// TakeShare gives the node its share of the quotas once; listed is set if it was among
-	// the members before it started. It reports whether the node has one.
+	// TakeShare assigns the node its share of the quotas, once. The parameter listed says whether
+	// the node was among the members before it started. It reports whether the node has a share.
 	TakeShare(listed bool, now time.Time) bool
-	// ReadLeases learns, at the start, of the leases that an earlier life of the node holds,
-	// MakeLeases makes those that are missing, and LookAtLeases lists them again.
+	// ReadLeases loads, at the start, the leases that an earlier incarnation of the node holds.
 	ReadLeases(ctx context.Context)
+	// MakeLeases creates missing leases and reports whether that succeeded.
 	MakeLeases(ctx context.Context) bool
+	// LookAtLeases lists the leases again.
 	LookAtLeases(ctx context.Context)
-	// StoreRestored takes note that the store has come back from an older copy: what was
-	// written there last may be lost, leases too.
+	// StoreRestored is called after the store was restored from an older copy. Recent writes,
+	// including leases, may be lost.
 	StoreRestored()
-	// AwaitInformed waits a moment until the node knows a configuration and a directory.
+	// AwaitInformed waits a short time until a configuration and a directory are known.
 	AwaitInformed()
 	// Reaches reports whether this node reaches a server directly.
 	Reaches(server string) bool
-	// Demote makes a server give up the lead; nil if it did not, or if nodes do not agree on
-	// primaries.
+	// Demote ends a server's primary role. It returns nil if that failed or if nodes do not agree
+	// on primaries.
 	Demote(server string) *upstream.Status
 }
 
-// Decoder reads the platform's objects into the product's own.
+// Decoder decodes objects of the platform's store.
 type Decoder interface {
 	Configuration(content []byte) (*catalog.Configuration, error)
 	Server(object objectstore.Object) (catalog.Server, error)
@@ -58,11 +58,11 @@
 	Servers       string
 	Leases        string
 	Members       string
-	// Voters names the table of the nodes that agree on tenures.
+	// Voters is the table of the nodes that agree on tenures.
 	Voters string
-	// Readers names the object that tells who the readers of a large fleet are.
+	// Readers is the object that lists the readers of a large fleet.
 	Readers string
-	// Evacuations names an object for each zone that is evacuated, of that name.
+	// Evacuations has one object per evacuated zone, named after the zone.
 	Evacuations string
 }
 
@@ -70,111 +70,112 @@
 type Options struct {
 	Name string
 	Zone string
-	// PeerAddress, MessageAddress and TokenAddress are where other nodes reach this one.
+	// PeerAddress, MessageAddress and TokenAddress are the node's addresses for other nodes.
 	PeerAddress    string
 	MessageAddress string
 	TokenAddress   string
 	Seeds          []string
 	Regions        map[string]string
-	// ConfigurationBound and DrainBound are within how long changes of the configuration and
-	// of the directory have to be in force.
+	// ConfigurationBound and DrainBound are the times within which changes of the configuration
+	// and of the directory must be in force.
 	ConfigurationBound time.Duration
 	DrainBound         time.Duration
-	// EvacuationBound is within how long the servers of an evacuated zone must receive nothing;
-	// 0 where zones are not evacuated.
+	// EvacuationBound is the time within which servers of an evacuated zone must no longer receive
+	// requests; 0 disables evacuations.
 	EvacuationBound  time.Duration
 	StrictRevocation bool
 	RevocationBound  time.Duration
 	Kinds            Kinds
-	// FirstStart is set while the whole fleet starts for the first time.
+	// FirstStart is set during the first start of a whole fleet.
 	FirstStart bool
-	// Capacity is what the node tells others of its machine.
+	// Capacity is what the node reports of its machine.
 	Capacity Capacity
 }
 
-// Ports are a Network's ways to the outside.
+// Ports are a Network's connections to the store, other nodes and metrics.
 type Ports struct {
 	Store objectstore.Store
-	// StoreCalls counts the calls to the store by call, kind and outcome; nil if nobody counts.
+	// StoreCalls counts calls to the store by call, kind and outcome; it may be nil.
 	StoreCalls *prometheus.CounterVec
-	// EntriesRefused counts entries that cannot be read, by kind; nil if nobody counts.
+	// EntriesRefused counts unreadable entries by kind; it may be nil.
 	EntriesRefused *prometheus.CounterVec
 	Decoder        Decoder
-	// Peers asks other nodes; nil if there are none.
+	// Peers sends requests to other nodes; it is nil if there are none.
 	Peers Peers
-	// Traffic counts the bytes of the node's ports; nil if nobody counts.
+	// Traffic counts the bytes that the node exchanges; it may be nil.
 	Traffic *traffic.Meter
 }
 
-// Network is what a node knows of the configuration, the servers and the other nodes, and
-// how it learns of them: from the store, or from nodes that watch it.
+// Network is a node's view of the configuration, the servers and the other nodes. It is updated
+// from the store or from nodes that watch it.
 type Network struct {
-	options Options
-	ports   Ports
-	duties  Duties
-	Log     *eventlog.Log
-	Catalog *catalog.Catalog
-	Started time.Time
+	options  Options
+	ports    Ports
+	delegate Duties
+	Log      *eventlog.Log
+	Catalog  *catalog.Catalog
+	Started  time.Time
 
-	// store counts only answers of the latest known era.
+	// store rejects answers of eras before the latest known one.
 	store *objectstore.Guarded
-	// restoredAt is when the store last turned out to have come back from an older copy, in
-	// nanoseconds since the node's start; 0 if it never has.
+	// restoredAt is when the store was last seen to be restored from an older copy, in
+	// nanoseconds since the node's start; 0 if never.
 	restoredAt atomic.Int64
-	// membersEra is the era of the last list of members. It belongs to the goroutine that
-	// looks at them.
+	// membersEra is the era of the last list of members. Only the goroutine that polls the
+	// members may use it.
 	membersEra uint64
-	// ownEntry is this node's entry in that list, nil if it had none, enteredAt when the node
-	// last wrote one. They belong to the same goroutine.
-	ownEntry     *objectstore.Object
-	enteredAt    time.Time
-	storeDown    atomic.Bool
-	reachability *reachability
-	// silentMembers are the nodes that did not answer lately.
-	silentMembers silences
-	// caches hold the objects of the kinds that other nodes may ask for.
+	// ownEntry is this node's entry in the last list, or nil. ownEntryWrittenAt is when the node
+	// last wrote it. Both are used only by the goroutine that polls the members.
+	ownEntry          *objectstore.Object
+	ownEntryWrittenAt time.Time
+	storeDown         atomic.Bool
+	reachability      *reachability
+	// silentMembers are the nodes that recently did not answer.
+	silentMembers silentNodes
+	// caches hold the objects of the kinds that other nodes may request.
 	caches map[string]*objectstore.Cache
 	// transfers fetches large objects from other nodes.
 	transfers *transfers
 	Members   atomic.Pointer[[]Member]
-	// memberZones holds the zones of the members' addresses and machines.
+	// memberZones maps the members' addresses and hosts to their zones.
 	memberZones atomic.Pointer[map[string]string]
-	// Calls counts the calls to the store.
+	// calls counts the calls to the store.
 	calls storeCalls
-	// toldSent are the bytes sent until the last log line of them.
-	toldSent uint64
-	// readersFound is closed once it is known whether the store names readers.
-	readersFound chan struct{}
-	// membersKnown is closed once members has a value.
+	// loggedSent is the number of sent bytes at the last traffic log line.
+	loggedSent uint64
+	// readersLookupDone is closed after the store was asked for the list of readers.
+	readersLookupDone chan struct{}
+	// membersKnown is closed once Members is set.
 	membersKnown chan struct{}
-	// membersSettled is closed once the list of members is likely to be complete: nodes
-	// that start together for the first time enter themselves one after the other.
-	membersSettled chan struct{}
-	settledOnce    sync.Once
-	// firstStart is set if the first list of members lacked this node: it is new, or the
-	// whole fleet is.
-	firstStart atomic.Bool
-	// listings are what this node has listed for others, shared what others have told it.
-	listings listings
-	shared   sharedListings
-	// readerSet is made of the members.
+	// membersSettled is closed once the list of members is likely complete: nodes that start
+	// together write their entries one after the other.
+	membersSettled     chan struct{}
+	membersSettledOnce sync.Once
+	// absentFromFirstList is set if the first list of members lacked this node. Either the node or
+	// the whole fleet is new.
+	absentFromFirstList atomic.Bool
+	// listingCache holds what this node lists for others as a reader, received what it got from
+	// readers.
+	listingCache listingCache
+	received     receivedListings
+	// readerSet is computed from the members.
 	readerSet atomic.Pointer[readerSet]
-	// configurationHeard is since when, after the node's start, a newer configuration may
-	// have been missed, in nanoseconds.
-	configurationHeard atomic.Int64
-	// refused keeps entries of other writers from being logged at each listing.
-	refused objectstore.RefusedEntries
-	// listedOnce is done once the store itself has told the configuration.
-	listedOnce sync.Once
-	// newer is the search for a configuration that holds an unknown key.
+	// configurationCheckedAt is the start of the last answered call for the configuration, in
+	// nanoseconds since the node's start. Later changes may be missing.
+	configurationCheckedAt atomic.Int64
+	// refusedEntries prevents logging an unreadable entry at each listing.
+	refusedEntries objectstore.RefusedEntries
+	// adoptNewestOnce runs after the store itself has first delivered the configuration.
+	adoptNewestOnce sync.Once
+	// newer is the search for a configuration with an unknown key.
 	newer newerSearch
 }
 
-// New returns a network of which nothing is known yet.
-func New(options Options, ports Ports, duties Duties, cat *catalog.Catalog, started time.Time, log *eventlog.Log) *Network {
+// New returns a Network that knows nothing yet.
+func New(options Options, ports Ports, delegate Duties, cat *catalog.Catalog, started time.Time, log *eventlog.Log) *Network {
 	n := &Network{
-		options: options, ports: ports, duties: duties, Log: log, Catalog: cat, Started: started,
-		readersFound: make(chan struct{}), membersKnown: make(chan struct{}), membersSettled: make(chan struct{}),
+		options: options, ports: ports, delegate: delegate, Log: log, Catalog: cat, Started: started,
+		readersLookupDone: make(chan struct{}), membersKnown: make(chan struct{}), membersSettled: make(chan struct{}),
 	}
 	if ports.Traffic == nil {
 		n.ports.Traffic = new(traffic.Meter)
@@ -191,15 +192,16 @@
 	if options.EvacuationBound > 0 {
 		n.caches[options.Kinds.Evacuations] = objectstore.NewCache(&evacuationSink{n})
 	}
-	n.caches[options.Kinds.Configuration].KeepNewest(n.outdatesConfiguration)
+	n.caches[options.Kinds.Configuration].KeepNewest(n.isOlderConfiguration)
 	return n
 }
 
-// Store returns the node's way to the store.
+// Store returns the store as this node accesses it: calls are metered and answers of old eras
+// rejected.
 func (n *Network) Store() objectstore.Store { return n.store }
 
-// StoreEra returns the latest era of the store that is known.
+// StoreEra returns the latest known era of the store.
 func (n *Network) StoreEra() uint64 { return n.store.Era() }
 
-// StoreCallLimit bounds a call to the store.
+// StoreCallLimit is the timeout of a call to the store.
 const StoreCallLimit = 1500 * time.Millisecond
--- a/internal/proxy/network/newer_configuration.go
+++ b/internal/proxy/network/newer_configuration.go
@@ -11,18 +11,17 @@
 	"dewknot/internal/proxy/relay"
 )
 
-// Limits of the search for a newer configuration, before a caller is told that its key is
-// not known.
+// Limits of the search for a newer configuration, which runs before an unknown key is rejected.
 const (
-	// surelyRecent is the age up to which what the store or a reader of it has told counts
-	// as the present configuration: a caller whose key was given to it a moment ago comes
-	// back later than that.
-	surelyRecent = time.Second
-	// newerLimit bounds the search as a whole: a caller gives the start of a session 2 s.
-	newerLimit = 800 * time.Millisecond
-	// newerPause is the shortest pause between two searches, so that a flood of unknown
-	// keys costs no flood of questions.
-	newerPause = time.Second
+	// maxRecentAge is the age up to which a configuration from the store or a reader counts as
+	// current. It is shorter than the time in which a client receives a new key and uses it.
+	maxRecentAge = time.Second
+	// newerSearchTimeout bounds a search. It leaves time in the 2 s that a client allows for the
+	// start of a session.
+	newerSearchTimeout = 800 * time.Millisecond
+	// newerSearchInterval is the minimum interval between searches, so that many unknown keys don't
+	// cause many requests.
+	newerSearchInterval = time.Second
 )
 
 // newerSearch lets sessions with unknown keys share one search for a newer configuration.
@@ -32,15 +31,15 @@
 	running chan struct{}
 }
 
-// SeekNewer looks whether another node knows a newer configuration than this one, and
-// waits until it is in force here. It does nothing if this node's is recent.
+// SeekNewer searches other nodes for a newer configuration and waits until it is in force here. It
+// does nothing if this node's configuration is recent.
 func (n *Network) SeekNewer(now time.Time) {
-	if n.caches[n.options.Kinds.Configuration].Age() < surelyRecent || n.ports.Peers == nil {
+	if n.caches[n.options.Kinds.Configuration].Age() < maxRecentAge || n.ports.Peers == nil {
 		return
 	}
 	n.newer.mu.Lock()
 	running := n.newer.running
-	if running == nil && now.Sub(n.newer.began) >= newerPause {
+	if running == nil && now.Sub(n.newer.began) >= newerSearchInterval {
 		running = make(chan struct{})
 		n.newer.began, n.newer.running = now, running
 		go n.searchNewer(running)
@@ -52,7 +51,7 @@
 	<-running
 }
 
-// searchNewer takes the newest configuration that a few other nodes know into force.
+// searchNewer applies the newest configuration that a few other nodes know.
 func (n *Network) searchNewer(done chan struct{}) {
 	defer func() {
 		n.newer.mu.Lock()
@@ -60,35 +59,35 @@
 		n.newer.mu.Unlock()
 		close(done)
 	}()
-	ctx, cancel := context.WithTimeout(context.Background(), newerLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), newerSearchTimeout)
 	defer cancel()
 	cache := n.caches[n.options.Kinds.Configuration]
 	revision, err := cache.Revision()
 	if err != nil {
 		return
 	}
-	objects, revision, err := (&otherNodes{n}).Watch(ctx, n.options.Kinds.Configuration, revision, 0)
+	objects, revision, err := (&peerSource{n}).Watch(ctx, n.options.Kinds.Configuration, revision, 0)
 	if err != nil || len(objects) == 0 {
-		// Nobody asked knows more, or nobody answered in time.
+		// No node that answered in time knows a newer configuration.
 		return
 	}
 	cache.Apply(objects, revision)
 }
 
-// adoptNewest takes the configuration of another node into force if its version is later than
-// the one that the store told a node that starts: the store may just have come back from an
-// older copy, while running nodes keep what they know until the operator has written again.
-func (n *Network) adoptNewest() {
+// adoptNewestConfiguration applies the configuration of another node if its version is newer than
+// the one that the store delivered to this starting node. The store may have been restored from an
+// older copy, while running nodes keep the newer version until the operator writes it again.
+func (n *Network) adoptNewestConfiguration() {
 	known := n.Catalog.Current().Configuration
 	if known == nil || n.ports.Peers == nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), newerLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), newerSearchTimeout)
 	defer cancel()
 	n.AwaitMembers(time.Now().Add(MemberAnswerLimit))
 	kind := n.options.Kinds.Configuration
 	newest := MemberAnswer{Answer: relay.Answer{Version: known.Version}}
-	for _, answer := range n.gather(ctx, n.sources(), relay.Question{Kind: kind, Peek: true}, answerGrace) {
+	for _, answer := range n.collectAnswers(ctx, n.sources(), relay.Question{Kind: kind, RevisionOnly: true}, answerGrace) {
 		if answer.Version > newest.Version {
 			newest = answer
 		}
@@ -104,14 +103,14 @@
 	n.caches[kind].Apply(answer.Objects, answer.Revision)
 }
 
-// heardConfiguration notes that a call for the configuration was answered which began at a
-// time.
-func (n *Network) heardConfiguration(began time.Time) {
-	n.configurationHeard.Store(int64(began.Sub(n.Started)))
+// recordConfigurationAnswer records that a call for the configuration was answered. The parameter
+// is the start of the call.
+func (n *Network) recordConfigurationAnswer(began time.Time) {
+	n.configurationCheckedAt.Store(int64(began.Sub(n.Started)))
 }
 
-// KeysUncertain reports whether the node has not heard for too long which keys are in force
-// to serve any, where that is asked for.
+// KeysUncertain reports whether, with strict revocation, the configuration has not been confirmed
+// for so long that no key may be accepted.
 func (n *Network) KeysUncertain(now time.Time) bool {
-	return n.options.StrictRevocation && now.Sub(n.Started)-time.Duration(n.configurationHeard.Load()) > n.options.RevocationBound
+	return n.options.StrictRevocation && now.Sub(n.Started)-time.Duration(n.configurationCheckedAt.Load()) > n.options.RevocationBound
 }
--- a/internal/proxy/network/reachability.go
+++ b/internal/proxy/network/reachability.go
@@ -9,139 +9,138 @@
 )
 
 const (
-	// degradedAfter is how long all that a node talks to must have been silent until the
-	// node takes itself to be at fault: longer than one lost packet is sent again, shorter
-	// than what a takeover takes.
+	// degradedAfter is how long all other nodes, servers and the store must have been silent
+	// before the node considers itself degraded: longer than a TCP retransmission, shorter than
+	// a takeover.
 	degradedAfter = 1500 * time.Millisecond
-	// degradedPeers is how many other nodes must have been silent in that time, or all
-	// if there are fewer.
+	// degradedPeers is the number of other nodes that must have been silent for that time, or
+	// all of them if there are fewer.
 	degradedPeers = 3
-	// storeProbePause is the least pause between two calls by which a node that hears
-	// nothing finds out whether it reaches the store.
-	storeProbePause = time.Second
+	// storeProbeInterval is the minimum interval between probes of the store by a node that gets
+	// no answers.
+	storeProbeInterval = time.Second
 )
 
-// reachability is what a node has lately heard of other nodes and of the store. It is
-// safe for concurrent use.
+// reachability records when other nodes and the store last answered. It is safe for concurrent use.
 type reachability struct {
 	mu sync.Mutex
-	// peerHeard is when another node last answered, silentPeers those that have not since.
-	peerHeard   time.Time
-	silentPeers map[string]struct{}
-	// storeHeard is when the store last answered, storeFailed when a call last got no answer.
-	storeHeard  time.Time
-	storeFailed time.Time
-	storeProbed time.Time
-	degraded    bool
-	since       time.Time
+	// lastPeerAnswer is when any other node last answered. silentPeers are the addresses of the
+	// nodes that have failed to answer since.
+	lastPeerAnswer time.Time
+	silentPeers    map[string]struct{}
+	// lastStoreFailure is when a call to the store last got no answer.
+	lastStoreAnswer  time.Time
+	lastStoreFailure time.Time
+	lastStoreProbe   time.Time
+	degraded         bool
+	degradedSince    time.Time
 }
 
 func newReachability(now time.Time) *reachability {
-	return &reachability{peerHeard: now, storeHeard: now, silentPeers: map[string]struct{}{}}
+	return &reachability{lastPeerAnswer: now, lastStoreAnswer: now, silentPeers: map[string]struct{}{}}
 }
 
-// peer notes that a node answered a question or was silent.
-func (r *reachability) peer(address string, heard bool, now time.Time) {
+// recordPeer records whether a node answered a request.
+func (r *reachability) recordPeer(address string, answered bool, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if heard {
-		r.peerHeard = now
+	if answered {
+		r.lastPeerAnswer = now
 		clear(r.silentPeers)
 		return
 	}
 	r.silentPeers[address] = struct{}{}
 }
 
-// store notes that the store answered a call or was silent.
-func (r *reachability) store(heard bool, now time.Time) {
+// recordStore records whether the store answered a call.
+func (r *reachability) recordStore(answered bool, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if heard {
-		r.storeHeard = now
+	if answered {
+		r.lastStoreAnswer = now
 		return
 	}
-	r.storeFailed = now
+	r.lastStoreFailure = now
 }
 
-// ServerSigns is what a node has lately heard of database servers.
+// ServerSigns summarizes the recent answers of database servers.
 type ServerSigns struct {
-	// Silent counts the servers that owe an answer.
+	// Silent is the number of servers with an overdue answer.
 	Silent int
 	// Heard is when any server last answered.
 	Heard time.Time
 }
 
-// look decides whether the node, which knows some others, is degraded. It asks for a
-// call to the store if only the store's word is missing.
-func (r *reachability) look(now time.Time, others int, servers ServerSigns) (degraded, changed, probe bool) {
+// evaluate decides whether the node is degraded. The parameter peers is the number of other known
+// nodes. The result probe asks the caller to probe the store, if only its failure is missing.
+func (r *reachability) evaluate(now time.Time, peers int, servers ServerSigns) (degraded, changed, probe bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	before := r.degraded
+	previous := r.degraded
 	if r.degraded {
-		r.degraded = !r.peerHeard.After(r.since) && !r.storeHeard.After(r.since) && !servers.Heard.After(r.since)
+		r.degraded = !r.lastPeerAnswer.After(r.degradedSince) && !r.lastStoreAnswer.After(r.degradedSince) && !servers.Heard.After(r.degradedSince)
 	} else {
-		silence := now.Add(-degradedAfter)
-		silent := others > 0 && len(r.silentPeers) >= min(degradedPeers, others) && r.peerHeard.Before(silence) &&
-			servers.Silent > 0 && servers.Heard.Before(silence) && r.storeHeard.Before(silence)
-		if silent && r.storeFailed.After(r.storeHeard) && r.storeFailed.After(r.peerHeard) {
-			r.degraded, r.since = true, now
-		} else if silent && now.Sub(r.storeProbed) > storeProbePause {
-			r.storeProbed, probe = now, true
+		cutoff := now.Add(-degradedAfter)
+		allSilent := peers > 0 && len(r.silentPeers) >= min(degradedPeers, peers) && r.lastPeerAnswer.Before(cutoff) &&
+			servers.Silent > 0 && servers.Heard.Before(cutoff) && r.lastStoreAnswer.Before(cutoff)
+		if allSilent && r.lastStoreFailure.After(r.lastStoreAnswer) && r.lastStoreFailure.After(r.lastPeerAnswer) {
+			r.degraded, r.degradedSince = true, now
+		} else if allSilent && now.Sub(r.lastStoreProbe) > storeProbeInterval {
+			r.lastStoreProbe, probe = now, true
 		}
 	}
-	return r.degraded, before != r.degraded, probe
+	return r.degraded, previous != r.degraded, probe
 }
 
-// peerAnswered notes how a question to another node ended. One that refuses the
-// connection has answered as far as this node's link is concerned.
-func (n *Network) peerAnswered(address string, err error) {
-	heard := err == nil || errors.Is(err, syscall.ECONNREFUSED)
-	n.reachability.peer(address, heard, time.Now())
-	n.silentMembers.note(address, err != nil)
+// recordPeerAnswer records the outcome of a request to another node. A refused connection proves
+// that this node's link works.
+func (n *Network) recordPeerAnswer(address string, err error) {
+	answered := err == nil || errors.Is(err, syscall.ECONNREFUSED)
+	n.reachability.recordPeer(address, answered, time.Now())
+	n.silentMembers.record(address, err != nil)
 }
 
-// Distrusts decides whether the node, which has heard of servers what signs tell, takes
-// itself to be at fault, and whether that has changed.
+// Distrusts decides whether this node considers itself degraded, and whether that has changed.
 func (n *Network) Distrusts(now time.Time, signs ServerSigns) (degraded, changed bool) {
-	degraded, changed, probe := n.reachability.look(now, n.KnownMembers(), signs)
+	degraded, changed, probe := n.reachability.evaluate(now, n.KnownMembers(), signs)
 	if probe {
 		go n.probeStore()
 	}
 	return degraded, changed
 }
 
-// StoreLost reports whether the store does not answer the watch of the configuration.
+// StoreLost reports whether the watch of the configuration gets no answer from the store.
 func (n *Network) StoreLost() bool { return n.storeDown.Load() }
 
-// SilentLately reports whether the node at an address was silent a short while ago.
+// SilentLately reports whether the node at an address recently failed to answer.
 func (n *Network) SilentLately(address string, now time.Time) bool {
-	return n.silentMembers.lately(address, now)
+	return n.silentMembers.recentlySilent(address, now)
 }
 
-// probeStore makes a cheap call, whose outcome tells whether the store is reached.
+// probeStore makes a cheap call to find out whether the store answers.
 func (n *Network) probeStore() {
-	ctx, cancel := context.WithTimeout(context.Background(), storeProbePause)
+	ctx, cancel := context.WithTimeout(context.Background(), storeProbeInterval)
 	defer cancel()
-	// The outcome is noted on the way, by meteredStore.
+	// meteredStore records the outcome.
 	_, _ = n.ports.Store.ListStale(ctx, n.options.Kinds.Members)
 }
 
-// silentSpan is for how long a node that did not answer is asked after all others.
-const silentSpan = 10 * time.Second
+// silentWindow is how long a node that did not answer is asked only after all others.
+const silentWindow = 10 * time.Second
 
-// silences holds when nodes last did not answer, by address. It is safe for concurrent use.
-type silences struct{ since sync.Map }
+// silentNodes records, by address, when nodes last failed to answer. It is safe for concurrent use.
+type silentNodes struct{ lastSilent sync.Map }
 
-func (s *silences) note(address string, silent bool) {
+func (s *silentNodes) record(address string, silent bool) {
 	if silent {
-		s.since.Store(address, time.Now())
+		s.lastSilent.Store(address, time.Now())
 		return
 	}
-	s.since.Delete(address)
+	s.lastSilent.Delete(address)
 }
 
-// lately reports whether a node was silent a short while ago.
-func (s *silences) lately(address string, now time.Time) bool {
-	since, found := s.since.Load(address)
-	return found && now.Sub(since.(time.Time)) < silentSpan
+// recentlySilent reports whether a node failed to answer within silentWindow.
+func (s *silentNodes) recentlySilent(address string, now time.Time) bool {
+	lastSilent, found := s.lastSilent.Load(address)
+	return found && now.Sub(lastSilent.(time.Time)) < silentWindow
 }
--- a/internal/proxy/network/reachability_test.go
+++ b/internal/proxy/network/reachability_test.go
@@ -8,14 +8,14 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestNodeDistrustsItselfOnlyIfAllIsSilent: other nodes, a server and the store; any of
-// them that answers, or was not asked, speaks for the node's link.
-func TestNodeDistrustsItselfOnlyIfAllIsSilent(t *testing.T) {
+// TestNodeIsDegradedOnlyIfNothingAnswers guards against a node that considers itself degraded
+// although another node, a server or the store answers or was not asked.
+func TestNodeIsDegradedOnlyIfNothingAnswers(t *testing.T) {
 	start := time.Unix(1_000, 0)
 	at := func(span time.Duration) time.Time { return start.Add(span) }
 	silentPeers := func(r *reachability, count int) {
 		for i := range count {
-			r.peer(fmt.Sprint(i), false, at(time.Second))
+			r.recordPeer(fmt.Sprint(i), false, at(time.Second))
 		}
 	}
 	const late = 2 * time.Second
@@ -27,42 +27,42 @@
 		degraded bool
 		probe    bool
 	}{
-		{"all silent", func(r *reachability) { silentPeers(r, degradedPeers); r.store(false, at(time.Second)) }, silent, true, false},
-		{"too few nodes were asked", func(r *reachability) { silentPeers(r, degradedPeers-1); r.store(false, at(time.Second)) }, silent, false, false},
+		{"all silent", func(r *reachability) { silentPeers(r, degradedPeers); r.recordStore(false, at(time.Second)) }, silent, true, false},
+		{"too few nodes were asked", func(r *reachability) { silentPeers(r, degradedPeers-1); r.recordStore(false, at(time.Second)) }, silent, false, false},
 		{"a node answers", func(r *reachability) {
 			silentPeers(r, degradedPeers)
-			r.store(false, at(time.Second))
-			r.peer("x", true, at(1800*time.Millisecond))
+			r.recordStore(false, at(time.Second))
+			r.recordPeer("x", true, at(1800*time.Millisecond))
 		}, silent, false, false},
-		{"the store answers", func(r *reachability) { silentPeers(r, degradedPeers); r.store(true, at(time.Second)) }, silent, false, false},
+		{"the store answers", func(r *reachability) { silentPeers(r, degradedPeers); r.recordStore(true, at(time.Second)) }, silent, false, false},
 		{"the store was not asked", func(r *reachability) { silentPeers(r, degradedPeers) }, silent, false, true},
-		{"no server owes an answer", func(r *reachability) { silentPeers(r, degradedPeers); r.store(false, at(time.Second)) }, ServerSigns{Heard: start}, false, false},
-		{"a server answers", func(r *reachability) { silentPeers(r, degradedPeers); r.store(false, at(time.Second)) }, ServerSigns{Silent: 1, Heard: at(time.Second)}, false, false},
+		{"no server has an overdue answer", func(r *reachability) { silentPeers(r, degradedPeers); r.recordStore(false, at(time.Second)) }, ServerSigns{Heard: start}, false, false},
+		{"a server answers", func(r *reachability) { silentPeers(r, degradedPeers); r.recordStore(false, at(time.Second)) }, ServerSigns{Silent: 1, Heard: at(time.Second)}, false, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newReachability(start)
 			c.prepare(r)
-			degraded, changed, probe := r.look(at(late), degradedPeers, c.servers)
+			degraded, changed, probe := r.evaluate(at(late), degradedPeers, c.servers)
 			must.Eq(t, c.degraded, degraded)
 			must.Eq(t, c.degraded, changed)
 			must.Eq(t, c.probe, probe)
 		})
 	}
 	for name, sign := range map[string]func(r *reachability) ServerSigns{
-		"node":   func(r *reachability) ServerSigns { r.peer("x", true, at(3*time.Second)); return silent },
-		"store":  func(r *reachability) ServerSigns { r.store(true, at(3*time.Second)); return silent },
+		"node":   func(r *reachability) ServerSigns { r.recordPeer("x", true, at(3*time.Second)); return silent },
+		"store":  func(r *reachability) ServerSigns { r.recordStore(true, at(3*time.Second)); return silent },
 		"server": func(*reachability) ServerSigns { return ServerSigns{Silent: 1, Heard: at(3 * time.Second)} },
 	} {
-		t.Run("any sign ends it: "+name, func(t *testing.T) {
+		t.Run("any answer ends it: "+name, func(t *testing.T) {
 			r := newReachability(start)
 			silentPeers(r, degradedPeers)
-			r.store(false, at(time.Second))
-			degraded, _, _ := r.look(at(late), degradedPeers, silent)
+			r.recordStore(false, at(time.Second))
+			degraded, _, _ := r.evaluate(at(late), degradedPeers, silent)
 			must.True(t, degraded)
-			degraded, changed, _ := r.look(at(2500*time.Millisecond), degradedPeers, silent)
+			degraded, changed, _ := r.evaluate(at(2500*time.Millisecond), degradedPeers, silent)
 			must.True(t, degraded)
 			must.False(t, changed)
-			degraded, changed, _ = r.look(at(4*time.Second), degradedPeers, sign(r))
+			degraded, changed, _ = r.evaluate(at(4*time.Second), degradedPeers, sign(r))
 			must.False(t, degraded)
 			must.True(t, changed)
 		})
--- a/internal/proxy/network/reader_set_test.go
+++ b/internal/proxy/network/reader_set_test.go
@@ -10,10 +10,9 @@
 	_ "dewknot/internal/base/propertytest" // fixes the seed
 )
 
-// TestReadersOfAnyFleet: whatever the zones and their sizes, all nodes that know the same
-// members name the same readers, each zone has one or two, a node asks those of its own zone
-// first, and no fewer than it may ask if there are as many.
-func TestReadersOfAnyFleet(t *testing.T) {
+// TestReaderSelectionInvariants guards against nodes that disagree on the readers, zones with a
+// wrong number of readers, and nodes that ask too few readers or those of another zone first.
+func TestReaderSelectionInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sizes := rapid.SliceOfN(rapid.IntRange(1, 40), 1, 9).Draw(t, "sizes")
 		var fleet []Member
@@ -25,40 +24,39 @@
 				fleet = append(fleet, Member{Name: fmt.Sprintf("%s-%d", name, i), Zone: name})
 			}
 		}
-		reading := map[string]string{}
-		asked := make([][]Member, len(fleet))
+		readerZones := map[string]string{}
+		order := make([][]Member, len(fleet))
 		for i, own := range fleet {
 			others := append(append([]Member{}, fleet[:i]...), fleet[i+1:]...)
 			n := &Network{options: Options{Name: own.Name, Zone: own.Zone, Regions: regions}}
 			set := n.chooseReaders(&others)
-			if set.reads {
-				reading[own.Name] = own.Zone
+			if set.isReader {
+				readerZones[own.Name] = own.Zone
 			}
-			asked[i] = set.others
+			order[i] = set.others
 		}
 		perZone := map[string]int{}
-		for _, zone := range reading {
+		for _, zone := range readerZones {
 			perZone[zone]++
 		}
 		for zone, size := range sizes {
 			name := fmt.Sprintf("z%d", zone)
-			must.Eq(t, readersOf(size, len(sizes)), perZone[name], must.Sprint(name, size))
+			must.Eq(t, readerCount(size, len(sizes)), perZone[name], must.Sprint(name, size))
 		}
 		for i, own := range fleet {
-			for place, reader := range asked[i] {
-				must.MapContainsKey(t, reading, reader.Name)
-				if place == 0 && reading[own.Name] == "" {
+			for rank, reader := range order[i] {
+				must.MapContainsKey(t, readerZones, reader.Name)
+				if rank == 0 && readerZones[own.Name] == "" {
 					must.Eq(t, own.Zone, reader.Zone)
 				}
 			}
-			must.GreaterEq(t, min(readersAsked, len(reading)-1), len(asked[i]))
+			must.GreaterEq(t, min(maxWatchReaders, len(readerZones)-1), len(order[i]))
 		}
 	})
 }
 
-// TestReadersHaveGoodLinks: of a zone with a few machines on good links, those read the store;
-// only if there are fewer of them than readers do others.
-func TestReadersHaveGoodLinks(t *testing.T) {
+// TestReadersPreferFastLinks guards against readers on slow links in a zone with enough fast ones.
+func TestReadersPreferFastLinks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes, good := rapid.IntRange(1, 60).Draw(t, "nodes"), rapid.IntRange(0, 5).Draw(t, "good")
 		count := rapid.IntRange(1, 2).Draw(t, "readers")
--- a/internal/proxy/network/readers.go
+++ b/internal/proxy/network/readers.go
@@ -12,80 +12,77 @@
 )
 
 const (
-	// readersFrom is the size of a fleet from which only some nodes watch the
-	// store; of a smaller one all do, which spares a change one way.
-	readersFrom = 16
-	// zoneReaders is how many nodes of each zone watch the store for the others, one in a
-	// zone of less than twoReadersFrom nodes. A node asks those of its own zone first,
-	// since a change may be large and bytes between zones are dear.
-	zoneReaders    = 2
-	twoReadersFrom = 8
-	// manyZonesTwoFrom is twoReadersFrom where one reader a zone makes more than a node
-	// asks: two thirds of the calls of a calm day of 62 nodes were watches of twelve readers.
-	manyZonesTwoFrom = 16
-	// readersAsked is how many readers a node asks before it asks the store itself.
-	// Two of them that stand still one after the other leave a change time within
-	// its bound.
-	readersAsked = 5
-	// readersListed is how many readers are asked for a listing before the store is,
-	// readerListLimit how long each may take to begin its answer: some round trips in a
-	// region, so that a node whose readers are dark loses little.
-	readersListed   = 2
-	readerListLimit = 60 * time.Millisecond
-	// firstListRounds is how often they are asked at the first start of a fleet, with about
-	// firstListPause in between, until well after secondMemberLook: of 300 nodes many see
-	// the others in part only at their first look, and ask nodes that are no readers. Two
-	// thirds of them listed configuration and directory from the store with 8 rounds.
-	firstListRounds = 20
-	firstListPause  = 200 * time.Millisecond
-	// restartRounds is how often a node that starts in a large fleet asks readers, each of which
-	// may wait for its own listing for restartWait, before it lists at the store itself: after a
-	// loss of all, 985 nodes that each list 1.6 MB there fill its link for 13 s.
-	restartRounds = 3
-	restartWait   = 1500 * time.Millisecond
-	// firstReadersWait is how long a node that starts waits for the store to tell whether the
-	// fleet is large, and who its readers are: a connection and a call between regions, on a
-	// machine that starts slowly.
-	firstReadersWait = 200 * time.Millisecond
-	// firstMembersWait is how long a node that starts waits for the list of members, from
-	// which it learns who the readers are: a good store has told it by then.
-	firstMembersWait = 30 * time.Millisecond
-	// pollShare is the wait of a question to a reader as a part of the bound.
-	pollShare = 0.3
-	// mostPatience bounds the wait for a reader's answer.
-	mostPatience = 1600 * time.Millisecond
-	// readerSlack is how long a reader's watch may take beyond its wait.
-	readerSlack = time.Second
+	// readersMinNodes is the size of a fleet from which only the readers watch the store. In a
+	// smaller fleet every node does, which saves a round trip per change.
+	readersMinNodes = 16
+	// readersPerZone is the number of readers in each zone, or one in a zone of less than
+	// twoReadersMinNodes nodes. A node prefers readers of its own zone, since changes may be
+	// large and traffic between zones is expensive.
+	readersPerZone     = 2
+	twoReadersMinNodes = 8
+	// twoReadersMinNodesManyZones replaces twoReadersMinNodes if there are more than
+	// maxWatchReaders zones. It limits the number of watches of the store.
+	twoReadersMinNodesManyZones = 16
+	// maxWatchReaders is the number of readers that a node tries before it asks the store. Two
+	// consecutive readers may hang without delaying a change beyond its bound.
+	maxWatchReaders = 5
+	// maxListReaders is the number of readers tried in a round of requests for a listing.
+	// readerListTimeout bounds the time until each begins its answer: a few round trips within a
+	// region, so that unreachable readers cost little.
+	maxListReaders    = 2
+	readerListTimeout = 60 * time.Millisecond
+	// firstStartListRounds is the number of rounds during the first start of a fleet, with a mean
+	// delay of listRoundDelay in between. They last until well after secondMembersPollDelay,
+	// because the first list of members may be incomplete and name nodes that are not readers.
+	firstStartListRounds = 20
+	listRoundDelay       = 200 * time.Millisecond
+	// restartListRounds is the number of rounds in which a node that starts in a large fleet asks
+	// readers, each of which may wait restartListWait for its own listing. Listings by all nodes
+	// at once would saturate the store's link.
+	restartListRounds = 3
+	restartListWait   = 1500 * time.Millisecond
+	// readersLookupWait is how long a starting node waits for the store's list of readers. It
+	// allows for a connection and a call between regions.
+	readersLookupWait = 200 * time.Millisecond
+	// membersListWait is how long a starting node waits for the list of members, from which it
+	// computes the readers. A healthy store delivers the list within this time.
+	membersListWait = 30 * time.Millisecond
+	// readerWaitShare is the wait of a watch at a reader as a share of the bound.
+	readerWaitShare = 0.3
+	// maxReaderTimeout bounds the timeout of a reader's answer.
+	maxReaderTimeout = 1600 * time.Millisecond
+	// readerAgeSlack is how much older than its watch's wait a reader's state may be.
+	readerAgeSlack = time.Second
 )
 
-// readerSet are the nodes that watch the store, made for a list of members.
+// readerSet holds the nodes that watch the store, computed from a list of members.
 type readerSet struct {
 	members *[]Member
-	// reads is set if this node is one of them.
-	reads bool
-	// others are the readers in the order in which this node asks them.
+	// isReader reports whether this node is one of them.
+	isReader bool
+	// others are the other readers in the order in which this node asks them.
 	others []Member
-	// all are all readers, this node too if it is one.
+	// all are all readers, including this node if it is one.
 	all []Member
 }
 
-// readers returns the present readers; nil if all nodes watch the store.
+// readers returns the current readers, or nil if all nodes watch the store.
 func (n *Network) readers() *readerSet {
 	members := n.Members.Load()
-	if members == nil || n.ports.Peers == nil || len(*members)+1 < readersFrom {
+	if members == nil || n.ports.Peers == nil || len(*members)+1 < readersMinNodes {
 		return nil
 	}
-	if known := n.readerSet.Load(); known != nil && known.members == members {
-		return known
+	if cached := n.readerSet.Load(); cached != nil && cached.members == members {
+		return cached
 	}
 	set := n.chooseReaders(members)
 	n.readerSet.Store(set)
 	return set
 }
 
-// chooseReaders ranks the nodes of each zone, and puts the readers in the order in
-// which this node asks them: its own zone's, its region's, the rest, each shuffled
-// by its name so that the nodes of a zone are spread over its readers.
+// chooseReaders ranks the nodes of each zone and chooses the readers. This node asks those of its
+// own zone first, then those of its region, then the rest. The order within each group depends on
+// this node's name, which spreads the load over the readers.
 func (n *Network) chooseReaders(members *[]Member) *readerSet {
 	set := &readerSet{members: members}
 	byZone := map[string][]Member{n.options.Zone: {n.OwnMember()}}
@@ -96,10 +93,10 @@
 	}
 	tiers := make([][]placement.Candidate, 3)
 	for zone, nodes := range byZone {
-		for _, name := range rankReaders(nodes, readersOf(len(nodes), len(byZone))) {
+		for _, name := range rankReaders(nodes, readerCount(len(nodes), len(byZone))) {
 			set.all = append(set.all, byName[name])
 			if name == n.options.Name {
-				set.reads = true
+				set.isReader = true
 				continue
 			}
 			tier := n.ZoneDistance(n.options.Zone, zone)
@@ -107,8 +104,8 @@
 		}
 	}
 	for _, tier := range tiers {
-		for _, name := range placement.Rank(n.options.Name, "", tier, readersAsked) {
-			if len(set.others) < readersAsked {
+		for _, name := range placement.Rank(n.options.Name, "", tier, maxWatchReaders) {
+			if len(set.others) < maxWatchReaders {
 				set.others = append(set.others, byName[name])
 			}
 		}
@@ -116,9 +113,8 @@
 	return set
 }
 
-// rankReaders chooses the readers of a zone among its nodes, those with good links first: each
-// tells what the store tells it to the nodes of its zone, and 82 of them that start at once on a
-// reader's link of 20 Mbit/s would wait 8 s for 240 KB each.
+// rankReaders chooses the readers among the nodes of a zone. Nodes with fast links come first,
+// because a reader sends what it gets from the store to all nodes of its zone.
 func rankReaders(nodes []Member, count int) []string {
 	best := 0.0
 	for i := range nodes {
@@ -136,19 +132,19 @@
 	return append(ranked, placement.Rank("store readers", "", rest, count-len(ranked))...)
 }
 
-// readersOf is how many nodes of a zone of some nodes watch the store.
-func readersOf(nodes, zones int) int {
-	from := twoReadersFrom
-	if zones > readersAsked {
-		from = manyZonesTwoFrom
+// readerCount returns the number of readers in a zone with the given number of nodes.
+func readerCount(nodes, zones int) int {
+	threshold := twoReadersMinNodes
+	if zones > maxWatchReaders {
+		threshold = twoReadersMinNodesManyZones
 	}
-	if nodes < from {
+	if nodes < threshold {
 		return 1
 	}
-	return zoneReaders
+	return readersPerZone
 }
 
-// ZoneDistance is 0 for the same zone, 1 for another of its region, 2 for the rest.
+// ZoneDistance returns 0 for the same zone, 1 for another zone of the same region, 2 otherwise.
 func (n *Network) ZoneDistance(from, to string) int {
 	switch {
 	case from == to:
@@ -160,131 +156,130 @@
 	}
 }
 
-// watchWait is how long a watch of the store waits. A reader's changes have a
-// second way to go, so it waits for less.
+// watchWait returns how long a watch of the store waits. If there are readers it is shorter, since
+// a change has to reach the other nodes too.
 func (n *Network) watchWait(bound time.Duration) time.Duration {
-	share := watchShare
+	share := watchWaitShare
 	if n.readers() != nil {
-		share = readerShare
+		share = readerWatchWaitShare
 	}
 	return time.Duration(share * float64(bound))
 }
 
-// storeReaders asks readers for changes of one kind. It implements
+// storeReaders requests objects of one kind from the readers. It implements
 // objectstore.ReaderSource.
 type storeReaders struct {
 	node  *Network
 	bound time.Duration
 
 	mu sync.Mutex
-	// skip is how many readers this node has given up in its order.
-	skip int
-	// patience is how long a reader's answer is waited for: it doubles whenever all have
-	// failed, since the node's own link may be full.
-	patience time.Duration
+	// skipped counts the readers, in this node's order, that have failed.
+	skipped int
+	// timeout bounds the time until a reader's answer begins. It doubles when all readers have
+	// failed, since this node's own link may be saturated.
+	timeout time.Duration
 }
 
 var errNoReader = &objectstore.Error{Outcome: objectstore.NotDone, Detail: "no reader of the store is up to date"}
 
-// List implements objectstore.ReaderSource. Few are asked, and for a short while only: a
-// node that starts after a loss of all finds nobody who knows anything.
+// List implements objectstore.ReaderSource. It tries few readers, with short timeouts, because
+// after an outage of all nodes no reader may know anything.
 func (s *storeReaders) List(ctx context.Context, kind string) ([]objectstore.Object, era.Revision, error) {
 	began := time.Now()
-	booting := s.node.bootReaders(firstReadersWait)
-	s.node.AwaitMembers(began.Add(firstMembersWait))
+	startup := s.node.startupReaders(readersLookupWait)
+	s.node.AwaitMembers(began.Add(membersListWait))
 	rounds, wait := 1, time.Duration(0)
-	if booting != nil || s.node.KnownMembers()+1 >= sharedFrom {
-		// A reader that starts as well lists within a second or so, and tells then.
-		rounds, wait = restartRounds, restartWait
+	if startup != nil || s.node.KnownMembers()+1 >= sharedListingMinNodes {
+		// A reader that is starting too answers once it has listed.
+		rounds, wait = restartListRounds, restartListWait
 	}
-	if s.node.firstStart.Load() || s.node.options.FirstStart {
-		// Nobody waits for a fleet that starts for the first time, and its readers need a
-		// moment to list.
-		s.node.awaitSettled(ctx)
-		rounds = firstListRounds
+	if s.node.absentFromFirstList.Load() || s.node.options.FirstStart {
+		// No clients wait during the first start of a fleet, and its readers need time to list.
+		s.node.awaitMembersSettled(ctx)
+		rounds = firstStartListRounds
 	}
-	question := relay.Question{Kind: kind, Wait: wait, Within: s.node.watchWait(s.bound) + readerSlack}
+	request := relay.Question{Kind: kind, Wait: wait, MaxAge: s.node.watchWait(s.bound) + readerAgeSlack}
 	for round := range rounds {
 		if round > 0 {
-			s.node.waitAbout(ctx, firstListPause)
+			s.node.waitJittered(ctx, listRoundDelay)
 		}
-		// Looks at the members meanwhile tell better who the readers are.
+		// The members may have been polled in the meantime, which improves the choice of readers.
 		set := s.node.readers()
 		if set == nil {
-			set = booting
+			set = startup
 		}
-		if set == nil || set.reads {
+		if set == nil || set.isReader {
 			return nil, 0, errNoReader
 		}
-		for range min(readersListed, len(set.others)) {
-			answer, err := s.node.askObjects(ctx, s.present(set.others).Address, question, readerListLimit)
+		for range min(maxListReaders, len(set.others)) {
+			answer, err := s.node.askObjects(ctx, s.current(set.others).Address, request, readerListTimeout)
 			if err == nil && !answer.Failed {
 				return answer.Objects, answer.Revision, nil
 			}
-			s.next()
+			s.skipCurrent()
 		}
 	}
 	return nil, 0, errNoReader
 }
 
-// Watch implements objectstore.ReaderSource: it goes on with the reader that
-// answered last, and asks each of the others once if that one fails.
+// Watch implements objectstore.ReaderSource. It continues with the reader that answered last and
+// tries each of the others once if that one fails.
 func (s *storeReaders) Watch(ctx context.Context, kind string, after era.Revision) ([]objectstore.Object, era.Revision, error) {
-	s.node.awaitSettled(ctx)
+	s.node.awaitMembersSettled(ctx)
 	set := s.node.readers()
-	if set == nil || set.reads {
+	if set == nil || set.isReader {
 		return nil, 0, errNoReader
 	}
-	wait := time.Duration(pollShare * float64(s.bound))
-	question := relay.Question{Kind: kind, Changes: true, After: after, Wait: wait, Within: s.node.watchWait(s.bound) + readerSlack}
+	wait := time.Duration(readerWaitShare * float64(s.bound))
+	request := relay.Question{Kind: kind, Changes: true, After: after, Wait: wait, MaxAge: s.node.watchWait(s.bound) + readerAgeSlack}
 	for range set.others {
-		answer, err := s.ask(ctx, s.present(set.others), question)
+		answer, err := s.ask(ctx, s.current(set.others), request)
 		if err == nil && (!answer.Failed || answer.Outcome == objectstore.HistoryGone) {
-			s.succeeded()
-			return answer.Objects, answer.Revision, failureOf(&answer)
+			s.resetTimeout()
+			return answer.Objects, answer.Revision, answerError(&answer)
 		}
-		s.next()
-		// The next one is asked at once, and what it knows now is enough.
-		question.Wait = 0
+		s.skipCurrent()
+		// The next reader answers immediately with what it knows.
+		request.Wait = 0
 	}
-	s.failed()
+	s.extendTimeout()
 	return nil, 0, errNoReader
 }
 
-func (s *storeReaders) ask(ctx context.Context, reader Member, question relay.Question) (relay.Answer, error) {
+func (s *storeReaders) ask(ctx context.Context, reader Member, request relay.Question) (relay.Answer, error) {
 	s.mu.Lock()
-	patience := s.patience
+	timeout := s.timeout
 	s.mu.Unlock()
-	return s.node.askObjects(ctx, reader.Address, question, patience)
+	return s.node.askObjects(ctx, reader.Address, request, timeout)
 }
 
-func (s *storeReaders) succeeded() {
+func (s *storeReaders) resetTimeout() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.patience = MemberAnswerLimit
+	s.timeout = MemberAnswerLimit
 }
 
-func (s *storeReaders) failed() {
+func (s *storeReaders) extendTimeout() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.patience = min(2*s.patience, mostPatience)
+	s.timeout = min(2*s.timeout, maxReaderTimeout)
 }
 
-func (s *storeReaders) present(readers []Member) Member {
+func (s *storeReaders) current(readers []Member) Member {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return readers[s.skip%len(readers)]
+	return readers[s.skipped%len(readers)]
 }
 
-func (s *storeReaders) next() {
+func (s *storeReaders) skipCurrent() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.skip++
+	s.skipped++
 }
 
-func failureOf(answer *relay.Answer) error {
+func answerError(answer *relay.Answer) error {
 	if !answer.Failed {
 		return nil
 	}
-	return &objectstore.Error{Outcome: answer.Outcome, Detail: "of a reader"}
+	return &objectstore.Error{Outcome: answer.Outcome, Detail: "reported by another node"}
 }
--- a/internal/proxy/network/restore.go
+++ b/internal/proxy/network/restore.go
@@ -11,36 +11,35 @@
 	"dewknot/internal/proxy/objectstore"
 )
 
-// restoreSpread is the span over which the nodes of a fleet look after what they had written
-// to a store that has come back from an older copy: one call each, 330 a second in a fleet of
-// 1,000. Entries of members are needed by nodes that start, which ask other nodes first.
-const restoreSpread = 3 * time.Second
+// restoreCheckSpread is the time over which the nodes of a fleet spread the check of their own
+// entries after the store was restored, one call each.
+const restoreCheckSpread = 3 * time.Second
 
-// storeRestored is told that the store has come back from an older copy.
-func (n *Network) storeRestored(earlier, later uint64) {
+// storeRestored is called when the store was restored from an older copy.
+func (n *Network) storeRestored(previousEra, newEra uint64) {
 	n.restoredAt.Store(int64(max(1, time.Since(n.Started))))
-	n.Log.Write(eventlog.StoreRestored, zap.Uint64("era", later), zap.Uint64("before", earlier))
-	time.AfterFunc(rand.N(restoreSpread), n.enterAgain)
+	n.Log.Write(eventlog.StoreRestored, zap.Uint64("era", newEra), zap.Uint64("before", previousEra))
+	time.AfterFunc(rand.N(restoreCheckSpread), n.restoreOwnEntry)
 	time.AfterFunc(n.options.DrainBound, n.confirmDirectory)
-	n.duties.StoreRestored()
+	n.delegate.StoreRestored()
 }
 
-// enterAgain enters this node among the members if its entry was lost.
-func (n *Network) enterAgain() {
+// restoreOwnEntry writes this node's entry if it was lost.
+func (n *Network) restoreOwnEntry() {
 	ctx, cancel := context.WithTimeout(context.Background(), StoreCallLimit)
 	defer cancel()
 	_, err := n.ports.Store.Get(ctx, n.options.Kinds.Members, n.options.Name)
-	if err != nil && objectstore.OutcomeOf(err) == objectstore.NotFound && n.enter(ctx, nil) {
+	if err != nil && objectstore.OutcomeOf(err) == objectstore.NotFound && n.writeOwnEntry(ctx, nil) {
 		return
 	}
 	if err != nil {
-		// The next look at the members enters the node.
-		n.Log.Write(eventlog.StoreLost, zap.String("call", "enter again"), zap.Error(err))
+		// The next poll of the members writes the entry.
+		n.Log.Write(eventlog.StoreLost, zap.String("call", "restore member entry"), zap.Error(err))
 	}
 }
 
-// confirmDirectory takes the store's word for servers that it lists and that were gone before
-// it came back: those that are not alive have been removed by now.
+// confirmDirectory accepts the listed servers that were gone before the store was restored. Those
+// that are not alive have been removed again by now.
 func (n *Network) confirmDirectory() {
 	objects, _, err := n.caches[n.options.Kinds.Servers].List()
 	if err != nil {
@@ -49,33 +48,33 @@
 	n.Catalog.ConfirmDirectory((&directorySink{n}).decodeAll(objects), time.Now())
 }
 
-// outdatesConfiguration reports whether a listed configuration is older than the known one:
-// versions never go back in a process's life, nor for a node that asks this one.
-func (n *Network) outdatesConfiguration(known, listed []byte) bool {
-	before, err := n.ports.Decoder.Configuration(known)
+// isOlderConfiguration reports whether a listed configuration is older than the known one. Within a
+// process, and for nodes that ask it, versions never decrease.
+func (n *Network) isOlderConfiguration(known, listed []byte) bool {
+	current, err := n.ports.Decoder.Configuration(known)
 	if err != nil {
 		return false
 	}
-	after, err := n.ports.Decoder.Configuration(listed)
-	return err != nil || after.Version < before.Version
+	next, err := n.ports.Decoder.Configuration(listed)
+	return err != nil || next.Version < current.Version
 }
 
-// keepMembers adds, to the first list of an era, the members that the list of the era before
-// had: their entries may be lost until they enter themselves again. A list that went back
-// must not make this node believe that it is one of few.
-func (n *Network) keepMembers(listed []Member, listedEra uint64) []Member {
-	known := n.Members.Load()
-	crossed := known != nil && listedEra > n.membersEra
+// retainMembers adds the known members to the first list of a new era. A restored store may lack
+// their entries until they write them again, and this node must not conclude that the fleet is
+// small.
+func (n *Network) retainMembers(listed []Member, listedEra uint64) []Member {
+	members := n.Members.Load()
+	newEra := members != nil && listedEra > n.membersEra
 	n.membersEra = max(n.membersEra, listedEra)
-	if !crossed {
+	if !newEra {
 		return listed
 	}
-	named := make(map[string]bool, len(listed))
+	isListed := make(map[string]bool, len(listed))
 	for i := range listed {
-		named[listed[i].Name] = true
+		isListed[listed[i].Name] = true
 	}
-	for _, member := range *known {
-		if !named[member.Name] {
+	for _, member := range *members {
+		if !isListed[member.Name] {
 			listed = append(listed, member)
 		}
 	}
--- a/internal/proxy/network/seeds.go
+++ b/internal/proxy/network/seeds.go
@@ -11,51 +11,50 @@
 )
 
 const (
-	// firstListLimit bounds the time until the first listing of a node that starts begins
-	// to come: a store that takes longer is not waited for while other nodes can tell. What
-	// has begun takes as long as the node's link demands: of 300 nodes that start together
-	// on links of 3 Mbit/s, all would else turn to three seeds, whose links fill.
-	firstListLimit = 350 * time.Millisecond
-	// firstMemberRetry is the pause until a node that starts asks again for members.
-	firstMemberRetry = 300 * time.Millisecond
-	// answerGrace is how long further answers are waited for after the first.
+	// firstListTimeout bounds the time until the first listing of a starting node begins to
+	// arrive, after which other nodes are asked. A listing that has begun may take longer:
+	// otherwise, on slow links, all starting nodes would turn to the few seeds.
+	firstListTimeout = 350 * time.Millisecond
+	// firstMembersRetryDelay is the mean delay between a starting node's attempts.
+	firstMembersRetryDelay = 300 * time.Millisecond
+	// answerGrace is how long to wait for further answers after the first.
 	answerGrace = 60 * time.Millisecond
 )
 
-// findMembers waits until a node that starts knows the other members: from the store,
-// or while that does not answer from the nodes that the settings name.
-func (n *Network) findMembers(ctx context.Context) {
-	limit := firstListLimit
-	n.findReaders(ctx, limit)
+// discoverMembers waits until a starting node knows the other members: from the store or, while the
+// store does not answer, from the configured seeds.
+func (n *Network) discoverMembers(ctx context.Context) {
+	timeout := firstListTimeout
+	n.lookUpReaders(ctx, timeout)
 	for ctx.Err() == nil {
-		if own, err := n.ListMembers(ctx, limit); err == nil {
+		if own, err := n.ListMembers(ctx, timeout); err == nil {
 			if own == nil {
-				n.firstStart.Store(true)
-				n.duties.TakeShare(false, time.Now())
+				n.absentFromFirstList.Store(true)
+				n.delegate.TakeShare(false, time.Now())
 			} else {
-				n.duties.TakeShare(true, time.Now())
-				// The list is of an earlier life of the fleet.
-				n.settled()
+				n.delegate.TakeShare(true, time.Now())
+				// The entry was written before this start, so the list is not a partial one.
+				n.markMembersSettled()
 			}
-			n.ensureEntry(ctx, own)
+			n.ensureOwnEntry(ctx, own)
 			return
 		}
 		if n.askSeeds(ctx) {
-			n.settled()
+			n.markMembersSettled()
 			return
 		}
-		limit = StoreCallLimit
-		n.waitAbout(ctx, firstMemberRetry)
+		timeout = StoreCallLimit
+		n.waitJittered(ctx, firstMembersRetryDelay)
 	}
 }
 
-// enoughKnown is the part of the most known members from which a list will do: the lists
-// of running nodes differ by the few that have just come, and the nearest one costs least.
-const enoughKnown = 0.9
+// minKnownShare is the share of the largest known number of members from which a node's list is
+// good enough. The lists of running nodes differ only by recent arrivals, so the first to answer
+// is used.
+const minKnownShare = 0.9
 
-// askSeeds takes the members from the first seed to answer that knows nearly as many as
-// any: the seeds are asked how many they know, and one for the list. It reports false if
-// none answers that knows any.
+// askSeeds asks the seeds how many members they know and takes the list from the first to answer
+// that knows nearly as many as any. It returns false if no seed knows any.
 func (n *Network) askSeeds(ctx context.Context) bool {
 	if n.ports.Peers == nil {
 		return false
@@ -68,52 +67,53 @@
 	}
 	limited, cancel := context.WithTimeout(ctx, MemberAnswerLimit)
 	defer cancel()
-	answers := n.gather(limited, seeds, relay.Question{Kind: n.options.Kinds.Members, Peek: true}, answerGrace)
-	for _, address := range sourcesOfMembers(answers) {
+	answers := n.collectAnswers(limited, seeds, relay.Question{Kind: n.options.Kinds.Members, RevisionOnly: true}, answerGrace)
+	for _, address := range memberSources(answers) {
 		list, err := n.askPeer(ctx, address, relay.Question{Kind: n.options.Kinds.Members}, MemberAnswerLimit)
 		if err == nil && len(list.Objects) > 0 {
-			n.duties.TakeShare(n.takeMembers(list.Objects) != nil, time.Now())
+			n.delegate.TakeShare(n.applyMembers(list.Objects) != nil, time.Now())
 			return true
 		}
 	}
 	return false
 }
 
-// sourcesOfMembers returns the nodes to ask for the list, in the order in which they said
-// how many they know.
-func sourcesOfMembers(answers []MemberAnswer) []string {
-	most := uint64(0)
+// memberSources returns the addresses of the nodes to ask for the list, in the order of their
+// answers.
+func memberSources(answers []MemberAnswer) []string {
+	highest := uint64(0)
 	for _, answer := range answers {
-		most = max(most, knownBy(&answer))
+		highest = max(highest, knownMemberCount(&answer))
 	}
 	var sources []string
 	for _, answer := range answers {
-		if known := knownBy(&answer); known > 0 && float64(known) >= enoughKnown*float64(most) {
+		if count := knownMemberCount(&answer); count > 0 && float64(count) >= minKnownShare*float64(highest) {
 			sources = append(sources, answer.From)
 		}
 	}
 	return sources
 }
 
-// knownBy is how many members a node says it knows; one of an older version sends them all.
-func knownBy(answer *MemberAnswer) uint64 {
+// knownMemberCount returns the number of members in an answer. Nodes of earlier versions send the
+// list instead of the number.
+func knownMemberCount(answer *MemberAnswer) uint64 {
 	if answer.Failed {
 		return 0
 	}
 	return max(uint64(answer.Revision), uint64(len(answer.Objects)))
 }
 
-// memberList answers a question for the members, this node among them, or for their number.
-func (n *Network) memberList(peek bool) relay.Answer {
-	known := n.Members.Load()
-	if known == nil {
+// answerMembers answers a request for the members, including this node, or for their number.
+func (n *Network) answerMembers(countOnly bool) relay.Answer {
+	members := n.Members.Load()
+	if members == nil {
 		return relay.Answer{Failed: true, Outcome: objectstore.NotDone}
 	}
-	if peek {
-		return relay.Answer{Revision: era.Revision(len(*known) + 1)}
+	if countOnly {
+		return relay.Answer{Revision: era.Revision(len(*members) + 1)}
 	}
 	var answer relay.Answer
-	for _, member := range append([]Member{n.OwnMember()}, *known...) {
+	for _, member := range append([]Member{n.OwnMember()}, *members...) {
 		content, err := json.Marshal(member)
 		if err != nil {
 			continue
--- a/internal/proxy/network/sources.go
+++ b/internal/proxy/network/sources.go
@@ -14,48 +14,48 @@
 	"dewknot/internal/proxy/relay"
 )
 
-// otherNodes is the source of what other nodes know.
-type otherNodes struct{ node *Network }
+// peerSource is the source of what other nodes know. It implements objectstore.Source.
+type peerSource struct{ node *Network }
 
 const (
-	// nearSources is how many of the nearest nodes are asked for what they know, and
-	// farSources how many of any: a zone may be cut off as a whole.
+	// nearSources and farSources are how many of the nearest and of the other nodes are asked. The
+	// far one covers the case that a whole zone is cut off.
 	nearSources = 2
 	farSources  = 1
-	// MemberAnswerLimit bounds the wait for other nodes' answers.
+	// MemberAnswerLimit is the timeout of other nodes' answers.
 	MemberAnswerLimit = 400 * time.Millisecond
-	// stalledLimit is how long an answer that has begun may stand still: packets wait up
-	// to half a second on a full link, and one that is lost is sent again after 0.2 s or more.
-	stalledLimit = time.Second
+	// stallTimeout bounds a pause within an answer. It allows for queueing on a full link and for
+	// a retransmission.
+	stallTimeout = time.Second
 )
 
 // List implements objectstore.Source.
-func (o *otherNodes) List(ctx context.Context, kind string) ([]objectstore.Object, era.Revision, error) {
+func (o *peerSource) List(ctx context.Context, kind string) ([]objectstore.Object, era.Revision, error) {
 	return o.ask(ctx, relay.Question{Kind: kind})
 }
 
 // Watch implements objectstore.Source.
-func (o *otherNodes) Watch(ctx context.Context, kind string, after era.Revision, wait time.Duration) ([]objectstore.Object, era.Revision, error) {
+func (o *peerSource) Watch(ctx context.Context, kind string, after era.Revision, wait time.Duration) ([]objectstore.Object, era.Revision, error) {
 	return o.ask(ctx, relay.Question{Kind: kind, Changes: true, After: after, Wait: wait})
 }
 
-// ask asks some nodes how much they know, and the one that knows most for it: an
-// answer may be a whole listing, of which one is enough.
-func (o *otherNodes) ask(ctx context.Context, question relay.Question) ([]objectstore.Object, era.Revision, error) {
+// ask first asks several nodes for their revisions and then requests the objects from the most
+// current one, since an answer may be a complete listing.
+func (o *peerSource) ask(ctx context.Context, request relay.Question) ([]objectstore.Object, era.Revision, error) {
 	o.node.AwaitMembers(time.Now().Add(MemberAnswerLimit))
-	best, found := o.newest(ctx, question.Kind)
-	if !found || (question.Changes && best.Revision <= question.After) {
-		return nil, 0, &objectstore.Error{Outcome: objectstore.NotDone, Detail: "no other node knows more"}
+	best, found := o.newest(ctx, request.Kind)
+	if !found || (request.Changes && best.Revision <= request.After) {
+		return nil, 0, &objectstore.Error{Outcome: objectstore.NotDone, Detail: "no other node has a newer revision"}
 	}
-	answer, err := o.node.askObjects(ctx, best.From, question, MemberAnswerLimit)
+	answer, err := o.node.askObjects(ctx, best.From, request, MemberAnswerLimit)
 	if err != nil {
 		return nil, 0, &objectstore.Error{Outcome: objectstore.NotDone, Detail: err.Error()}
 	}
-	return answer.Objects, answer.Revision, failureOf(&answer)
+	return answer.Objects, answer.Revision, answerError(&answer)
 }
 
-// sources returns the nodes to ask, nearest first: listings are large, and bytes
-// between regions are dear.
+// sources returns the nodes to ask, nearest first: listings are large, and traffic between regions
+// is expensive.
 func (n *Network) sources() []Member {
 	members := n.SomeMembers(math.MaxInt)
 	slices.SortStableFunc(members, func(a, b Member) int {
@@ -68,13 +68,13 @@
 	return append(members[:nearSources:nearSources], far)
 }
 
-// newest returns the answer of the node that knows most of a kind, the nearest of
-// those that know as much.
-func (o *otherNodes) newest(ctx context.Context, kind string) (MemberAnswer, bool) {
+// newest returns the answer of the node with the highest revision of a kind, and of the nearest
+// among equals.
+func (o *peerSource) newest(ctx context.Context, kind string) (MemberAnswer, bool) {
 	limited, cancel := context.WithTimeout(ctx, MemberAnswerLimit)
 	defer cancel()
 	sources := o.node.sources()
-	answers := o.node.gather(limited, sources, relay.Question{Kind: kind, Peek: true}, answerGrace)
+	answers := o.node.collectAnswers(limited, sources, relay.Question{Kind: kind, RevisionOnly: true}, answerGrace)
 	var best MemberAnswer
 	found := false
 	for _, source := range sources {
@@ -87,28 +87,28 @@
 	return best, found
 }
 
-// askObjects asks another node for objects; limit bounds the time until its answer
-// begins, beyond the question's wait. Large objects come as patches of what this node
-// has, where it has what the other one believes, or else in pieces.
-func (n *Network) askObjects(ctx context.Context, address string, question relay.Question, limit time.Duration) (relay.Answer, error) {
-	question.Patches, question.Pieces = question.Changes, true
-	answer, err := n.askPeer(ctx, address, question, question.Wait+limit)
+// askObjects requests objects from another node. The timeout bounds the time until the answer
+// begins, in addition to the request's wait. Large objects arrive as patches if this node has
+// the base version, otherwise in pieces.
+func (n *Network) askObjects(ctx context.Context, address string, request relay.Question, timeout time.Duration) (relay.Answer, error) {
+	request.AcceptPatches, request.AcceptPieces = request.Changes, true
+	answer, err := n.askPeer(ctx, address, request, request.Wait+timeout)
 	if err != nil {
 		return answer, err
 	}
 	if !answer.Failed {
 		n.store.Learn(answer.Revision.Era())
 	}
-	expanded, err := n.caches[question.Kind].Expand(answer.Patched)
+	expanded, err := n.caches[request.Kind].Expand(answer.Patched)
 	if err != nil {
-		question.Patches, question.Wait = false, 0
-		if answer, err = n.askPeer(ctx, address, question, limit); err != nil {
+		request.AcceptPatches, request.Wait = false, 0
+		if answer, err = n.askPeer(ctx, address, request, timeout); err != nil {
 			return answer, err
 		}
 	}
 	answer.Objects = append(answer.Objects, expanded...)
 	for i := range answer.Large {
-		object, err := n.transfers.fetch(ctx, address, question.Kind, &answer.Large[i])
+		object, err := n.transfers.fetch(ctx, address, request.Kind, &answer.Large[i])
 		if err != nil {
 			return answer, err
 		}
@@ -118,77 +118,77 @@
 	return answer, nil
 }
 
-// askPeer asks another node, whose answer has to begin within a limit and takes as
-// long as it goes on after that.
-func (n *Network) askPeer(ctx context.Context, address string, question relay.Question, limit time.Duration) (relay.Answer, error) {
-	limited, cancel := stall.WithLimit(ctx, limit, stalledLimit)
+// askPeer sends a request to another node. The answer must begin within the timeout and may take
+// longer as long as it makes progress.
+func (n *Network) askPeer(ctx context.Context, address string, request relay.Question, timeout time.Duration) (relay.Answer, error) {
+	limited, cancel := stall.WithLimit(ctx, timeout, stallTimeout)
 	defer cancel()
-	answer, err := n.ports.Peers.Ask(limited, address, question)
+	answer, err := n.ports.Peers.Ask(limited, address, request)
 	if ctx.Err() == nil {
-		n.peerAnswered(address, err)
+		n.recordPeerAnswer(address, err)
 	}
 	return answer, err
 }
 
 // Answer implements relay.Handler.
-func (n *Network) Answer(ctx context.Context, question relay.Question) relay.Answer {
-	if question.Server != "" && question.StepDown {
-		return n.demotedFor(question.Server)
+func (n *Network) Answer(ctx context.Context, request relay.Question) relay.Answer {
+	if request.Server != "" && request.StepDown {
+		return n.answerStepDown(request.Server)
 	}
-	if question.Server != "" {
-		return relay.Answer{Reached: n.duties.Reaches(question.Server)}
+	if request.Server != "" {
+		return relay.Answer{Reached: n.delegate.Reaches(request.Server)}
 	}
-	if question.Within > 0 && n.listedForOthers(question.Kind) {
-		return n.answerListing(ctx, &question)
+	if request.MaxAge > 0 && n.servedByReaders(request.Kind) {
+		return n.answerListing(ctx, &request)
 	}
-	if question.Kind != "" && question.Kind == n.options.Kinds.Members {
-		return n.memberList(question.Peek)
+	if request.Kind != "" && request.Kind == n.options.Kinds.Members {
+		return n.answerMembers(request.RevisionOnly)
 	}
-	cache := n.caches[question.Kind]
+	cache := n.caches[request.Kind]
 	if cache == nil {
 		return relay.Answer{Failed: true, Outcome: objectstore.NotFound}
 	}
-	answer, err := answerFrom(ctx, cache, &question)
+	answer, err := answerFromCache(ctx, cache, &request)
 	if err != nil {
 		return relay.Answer{Failed: true, Outcome: objectstore.OutcomeOf(err)}
 	}
-	if known := n.Catalog.Current().Configuration; question.Peek && question.Kind == n.options.Kinds.Configuration && known != nil {
+	if known := n.Catalog.Current().Configuration; request.RevisionOnly && request.Kind == n.options.Kinds.Configuration && known != nil {
 		answer.Version = known.Version
 	}
-	if question.Within > 0 && cache.Age() > question.Within {
+	if request.MaxAge > 0 && cache.Age() > request.MaxAge {
 		return relay.Answer{Failed: true, Outcome: objectstore.NotDone}
 	}
 	return answer
 }
 
-// demotedFor makes a server give up the lead for another node.
-func (n *Network) demotedFor(server string) relay.Answer {
-	status := n.duties.Demote(server)
+// answerStepDown demotes a server on behalf of another node.
+func (n *Network) answerStepDown(server string) relay.Answer {
+	status := n.delegate.Demote(server)
 	if status == nil {
 		return relay.Answer{}
 	}
 	return relay.Answer{Reached: true, Received: status.Received}
 }
 
-// answerFrom answers a question for objects from what this node knows.
-func answerFrom(ctx context.Context, cache *objectstore.Cache, question *relay.Question) (relay.Answer, error) {
+// answerFromCache answers a request for objects from this node's cache.
+func answerFromCache(ctx context.Context, cache *objectstore.Cache, request *relay.Question) (relay.Answer, error) {
 	var answer relay.Answer
 	var err error
 	switch {
-	case question.Piece != nil:
-		answer.Piece, err = cache.Piece(question.Piece.Object, question.Piece.Revision, question.Piece.Offset)
-	case question.Peek:
+	case request.Piece != nil:
+		answer.Piece, err = cache.Piece(request.Piece.Object, request.Piece.Revision, request.Piece.Offset)
+	case request.RevisionOnly:
 		answer.Revision, err = cache.Revision()
-	case question.Changes:
-		answer.Objects, answer.Revision, err = cache.Watch(ctx, question.After, question.Wait)
-		if question.Patches {
-			answer.Objects, answer.Patched = cache.Compact(answer.Objects, question.After)
+	case request.Changes:
+		answer.Objects, answer.Revision, err = cache.Watch(ctx, request.After, request.Wait)
+		if request.AcceptPatches {
+			answer.Objects, answer.Patched = cache.Compact(answer.Objects, request.After)
 		}
 	default:
-		cache.AwaitListed(ctx, question.Wait)
+		cache.AwaitListed(ctx, request.Wait)
 		answer.Objects, answer.Revision, err = cache.List()
 	}
-	if question.Pieces {
+	if request.AcceptPieces {
 		answer.Objects, answer.Large = cache.NameLarge(answer.Objects)
 	}
 	return answer, err
--- a/internal/proxy/network/sources_test.go
+++ b/internal/proxy/network/sources_test.go
@@ -15,8 +15,8 @@
 	"dewknot/internal/proxy/relay"
 )
 
-// knowingPeers answer for nodes that know a kind up to a revision; others are silent.
-type knowingPeers struct {
+// fakePeers answers for nodes that know a kind up to a revision. Other addresses don't answer.
+type fakePeers struct {
 	Peers
 	revisions map[string]era.Revision
 
@@ -26,11 +26,11 @@
 }
 
 // Ask implements Peers.
-func (p *knowingPeers) Ask(_ context.Context, address string, question relay.Question) (relay.Answer, error) {
+func (p *fakePeers) Ask(_ context.Context, address string, request relay.Question) (relay.Answer, error) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	revision, known := p.revisions[address]
-	if question.Peek {
+	if request.RevisionOnly {
 		p.peeked = append(p.peeked, address)
 	} else {
 		p.fetched = append(p.fetched, address)
@@ -39,14 +39,14 @@
 		return relay.Answer{}, net.ErrClosed
 	}
 	answer := relay.Answer{Revision: revision}
-	if !question.Peek {
+	if !request.RevisionOnly {
 		answer.Objects = []objectstore.Object{{Name: address, Revision: revision}}
 	}
 	return answer, nil
 }
 
-// listFrom lets a node of zone a, in a fleet of zones a, b and c, list from others.
-func listFrom(t *testing.T, peers *knowingPeers) ([]objectstore.Object, era.Revision, error) {
+// listFrom lists from the peers on behalf of a node of zone a in a fleet of zones a, b and c.
+func listFrom(t *testing.T, peers *fakePeers) ([]objectstore.Object, era.Revision, error) {
 	t.Helper()
 	var names []string
 	for _, zone := range []string{"a", "b", "c"} {
@@ -54,15 +54,15 @@
 			names = append(names, fmt.Sprintf("%s%d", zone, i+1))
 		}
 	}
-	node := listedNetwork(names, peers)
-	return (&otherNodes{node}).List(t.Context(), "kind")
+	node := newTestNetwork(names, peers)
+	return (&peerSource{node}).List(t.Context(), "kind")
 }
 
-// TestNearestSourceIsAsked: of nodes that know as much, one of the own zone tells
-// the whole; one of another zone is asked too, in case that the own one is cut off.
-func TestNearestSourceIsAsked(t *testing.T) {
+// TestNearestSourceIsPreferred guards against listings from another zone although a node of the own
+// zone is as current, and against asking the own zone only.
+func TestNearestSourceIsPreferred(t *testing.T) {
 	for range 50 {
-		peers := &knowingPeers{revisions: map[string]era.Revision{}}
+		peers := &fakePeers{revisions: map[string]era.Revision{}}
 		for _, zone := range []string{"a", "b", "c"} {
 			for i := range 5 {
 				peers.revisions[fmt.Sprintf("%s%d", zone, i+1)] = 7
@@ -78,12 +78,11 @@
 	}
 }
 
-// TestSourceThatKnowsMostIsAsked: nodes of the own zone that know less, or nothing,
-// are passed over.
-func TestSourceThatKnowsMostIsAsked(t *testing.T) {
+// TestMostCurrentSourceIsPreferred guards against listings from a near but outdated node.
+func TestMostCurrentSourceIsPreferred(t *testing.T) {
 	farther := 0
 	for range 50 {
-		peers := &knowingPeers{revisions: map[string]era.Revision{"a1": 3, "a2": 3, "a3": 3, "a4": 3, "a5": 3}}
+		peers := &fakePeers{revisions: map[string]era.Revision{"a1": 3, "a2": 3, "a3": 3, "a4": 3, "a5": 3}}
 		for i := range 5 {
 			peers.revisions[fmt.Sprintf("c%d", i+1)] = 9
 		}
@@ -95,6 +94,6 @@
 		}
 	}
 	must.Positive(t, farther)
-	_, _, err := listFrom(t, &knowingPeers{})
+	_, _, err := listFrom(t, &fakePeers{})
 	must.Eq(t, objectstore.NotDone, objectstore.OutcomeOf(err))
 }
--- a/internal/proxy/network/traffic_metrics.go
+++ b/internal/proxy/network/traffic_metrics.go
@@ -11,24 +11,23 @@
 	"dewknot/internal/proxy/traffic"
 )
 
-// TrafficLook is the pause between two log lines of what a node has exchanged with others:
-// the log alone then tells which kind fills a link. A node that sends busyBytes in less than that
-// tells so from busyLook on.
+// trafficLogInterval is the interval between log lines of a node's traffic. A node that sends
+// busyBytes sooner logs after busyLogInterval.
 const (
-	TrafficLook = time.Minute
-	busyLook    = 4 * time.Second
-	busyBytes   = 256 << 10
+	trafficLogInterval = time.Minute
+	busyLogInterval    = 4 * time.Second
+	busyBytes          = 256 << 10
 )
 
-// TrafficDue reports whether the next log line is due, some time after the last one.
+// TrafficDue reports whether the next log line is due, given the time since the last one.
 func (n *Network) TrafficDue(since time.Duration) bool {
-	return since > TrafficLook || (since > busyLook && n.ports.Traffic.Sent() >= n.toldSent+busyBytes)
+	return since > trafficLogInterval || (since > busyLogInterval && n.ports.Traffic.Sent() >= n.loggedSent+busyBytes)
 }
 
-// distanceTo tells how far an address is: a member's, a server's, or one of their machines'.
+// distanceTo returns the distance to the address of a member or server, or to a member's host.
 func (n *Network) distanceTo(address string) traffic.Distance {
 	if zones := n.memberZones.Load(); zones != nil {
-		if zone, known := zoneAt(*zones, address); known {
+		if zone, known := zoneOf(*zones, address); known {
 			return n.trafficDistance(zone)
 		}
 	}
@@ -37,12 +36,12 @@
 			return n.trafficDistance(entry.Zone)
 		}
 	}
-	return traffic.Unplaced
+	return traffic.UnknownDistance
 }
 
-// zoneAt looks an address up, and else its machine: a connection that another node opened
-// comes from a port of no meaning.
-func zoneAt(zones map[string]string, address string) (string, bool) {
+// zoneOf looks up an address, then its host: the source port of an incoming connection is
+// arbitrary.
+func zoneOf(zones map[string]string, address string) (string, bool) {
 	if zone, known := zones[address]; known {
 		return zone, true
 	}
@@ -54,15 +53,15 @@
 	return zone, known
 }
 
-// trafficDistances are the distances of zoneDistance.
+// trafficDistances is indexed by the results of ZoneDistance.
 var trafficDistances = [...]traffic.Distance{traffic.SameZone, traffic.SameRegion, traffic.OtherRegion}
 
 func (n *Network) trafficDistance(zone string) traffic.Distance {
 	return trafficDistances[n.ZoneDistance(n.options.Zone, zone)]
 }
 
-// placeMembers notes where the members' addresses are.
-func (n *Network) placeMembers(members []Member) {
+// recordMemberZones updates the zones of the members' addresses and hosts.
+func (n *Network) recordMemberZones(members []Member) {
 	zones := make(map[string]string, 2*len(members))
 	for _, member := range members {
 		zones[member.Address] = member.Zone
@@ -76,13 +75,13 @@
 	n.memberZones.Store(&zones)
 }
 
-// Collectors returns what tells of the node's exchange with others.
+// Collectors returns the collectors of the node's traffic metrics.
 func (n *Network) Collectors() []prometheus.Collector {
 	return []prometheus.Collector{newTrafficCollector(n.ports.Traffic)}
 }
 
-// trafficCollector collects the bytes exchanged by kind, distance and direction, of which
-// there are few. It implements prometheus.Collector.
+// trafficCollector exports the exchanged bytes by kind, distance and direction. It implements
+// prometheus.Collector.
 type trafficCollector struct {
 	meter *traffic.Meter
 	bytes *prometheus.Desc
@@ -106,8 +105,8 @@
 	})
 }
 
-// LogTraffic is called by one goroutine. It writes the bytes sent so far by kind and distance, those received from the
-// store, and the calls to it.
+// LogTraffic logs the bytes sent by kind and distance, those received from the store, and the
+// calls to it. Only one goroutine may call it.
 func (n *Network) LogTraffic() {
 	var fields []zap.Field
 	n.ports.Traffic.Each(func(kind traffic.Kind, distance traffic.Distance, direction traffic.Direction, bytes uint64) {
@@ -115,7 +114,7 @@
 			fields = append(fields, zap.Uint64(kind.String()+"."+distance.String()+"."+direction.String(), bytes))
 		}
 	})
-	fields = append(fields, zap.Any("store_calls", n.calls.told()))
-	n.toldSent = n.ports.Traffic.Sent()
+	fields = append(fields, zap.Any("store_calls", n.calls.snapshot()))
+	n.loggedSent = n.ports.Traffic.Sent()
 	n.Log.Write(eventlog.TrafficTold, fields...)
 }
--- a/internal/proxy/network/transfer.go
+++ b/internal/proxy/network/transfer.go
@@ -13,9 +13,9 @@
 	"dewknot/internal/proxy/relay"
 )
 
-// transfers fetches large objects from other nodes in pieces. What has arrived of a
-// version is kept until all of it has, so that another node goes on where one failed.
-// Each kind has one follower, so one transfer of a kind runs at a time.
+// transfers fetches large objects from other nodes in pieces. The received part of a version is
+// kept until it is complete, so that a transfer can resume at another node. Each kind has one
+// follower, so at most one transfer of a kind runs at a time.
 type transfers struct {
 	node *Network
 
@@ -23,19 +23,19 @@
 	partial map[string]*partialObject // by kind
 }
 
-// partialObject is what has arrived, compressed, of a version of an object.
+// partialObject is the received part, compressed, of a version of an object.
 type partialObject struct {
 	objectstore.LargeObject
 	content []byte
 }
 
 const (
-	// mostTurnedAway is how often in a row a node may tell a transfer to come back
-	// later before another node is asked.
-	mostTurnedAway = 4
-	// pieceAnswerLimit bounds the time until a piece begins to come, on a link that may
-	// be full.
-	pieceAnswerLimit = time.Second
+	// maxRejections is how many consecutive times a node may reject a request for a piece before
+	// another node is asked.
+	maxRejections = 4
+	// pieceAnswerTimeout bounds the time until a piece begins to arrive on a link that may be
+	// saturated.
+	pieceAnswerTimeout = time.Second
 )
 
 func newTransfers(node *Network) *transfers {
@@ -43,15 +43,15 @@
 }
 
 var (
-	errTurnedAway  = errors.New("the node hands out as many pieces as it may; ask another one")
-	errOtherObject = errors.New("the pieces do not make the object that was named; ask for it anew")
+	errNodeBusy       = errors.New("the node already sends the maximum number of pieces; ask another node")
+	errObjectMismatch = errors.New("the pieces do not match the announced object; request it again")
 )
 
-// fetch completes a version of an object with pieces of the node at an address. On an
-// error, what has arrived is kept for the next node that names the same version.
+// fetch completes a version of an object with pieces from the node at an address. After an error,
+// the received part is kept for the next node that offers the same version.
 func (t *transfers) fetch(ctx context.Context, address, kind string, wanted *objectstore.LargeObject) (objectstore.Object, error) {
 	p := t.resume(kind, wanted)
-	began, kept, turnedAway := time.Now(), len(p.content), 0
+	began, resumedAt, rejections := time.Now(), len(p.content), 0
 	for len(p.content) < p.Size {
 		answer, err := t.ask(ctx, address, kind, p)
 		if err != nil {
@@ -59,55 +59,55 @@
 				zap.String("peer", address), zap.Int("have", len(p.content)), zap.Int("size", p.Size), zap.Error(err))
 			return objectstore.Object{}, err
 		}
-		if answer.Later > 0 {
-			if turnedAway++; turnedAway > mostTurnedAway {
-				return objectstore.Object{}, errTurnedAway
+		if answer.RetryAfter > 0 {
+			if rejections++; rejections > maxRejections {
+				return objectstore.Object{}, errNodeBusy
 			}
-			t.node.waitAbout(ctx, answer.Later)
+			t.node.waitJittered(ctx, answer.RetryAfter)
 			continue
 		}
-		turnedAway = 0
+		rejections = 0
 		p.content = append(p.content, answer.Piece...)
 	}
-	t.forget(kind)
+	t.discard(kind)
 	object, err := p.Unpack(p.content)
 	if err != nil {
 		return object, err
 	}
 	t.node.Log.Write(eventlog.TransferDone, zap.String("kind", kind), zap.Stringer("revision", p.Revision), zap.String("peer", address),
-		zap.Int("size", p.Size), zap.Int("resumed_at", kept), zap.Duration("took", time.Since(began)))
+		zap.Int("size", p.Size), zap.Int("resumed_at", resumedAt), zap.Duration("took", time.Since(began)))
 	return object, nil
 }
 
-// ask asks for the next piece.
+// ask requests the next piece.
 func (t *transfers) ask(ctx context.Context, address, kind string, p *partialObject) (relay.Answer, error) {
 	answer, err := t.node.askPeer(ctx, address, relay.Question{
 		Kind: kind, Piece: &relay.Piece{Object: p.Name, Revision: p.Revision, Offset: len(p.content)},
-	}, pieceAnswerLimit)
+	}, pieceAnswerTimeout)
 	switch {
 	case err != nil:
 		return answer, err
 	case answer.Failed:
-		return answer, failureOf(&answer)
-	case answer.Later <= 0 && (len(answer.Piece) == 0 || len(p.content)+len(answer.Piece) > p.Size):
-		return answer, errOtherObject
+		return answer, answerError(&answer)
+	case answer.RetryAfter <= 0 && (len(answer.Piece) == 0 || len(p.content)+len(answer.Piece) > p.Size):
+		return answer, errObjectMismatch
 	}
 	return answer, nil
 }
 
-// resume returns what has arrived of a version; of another one, it is dropped.
+// resume returns the received part of the wanted version and discards that of any other version.
 func (t *transfers) resume(kind string, wanted *objectstore.LargeObject) *partialObject {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if known := t.partial[kind]; known != nil && known.LargeObject == *wanted {
-		return known
+	if existing := t.partial[kind]; existing != nil && existing.LargeObject == *wanted {
+		return existing
 	}
-	begun := &partialObject{LargeObject: *wanted}
-	t.partial[kind] = begun
-	return begun
+	fresh := &partialObject{LargeObject: *wanted}
+	t.partial[kind] = fresh
+	return fresh
 }
 
-func (t *transfers) forget(kind string) {
+func (t *transfers) discard(kind string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.partial, kind)
--- a/internal/proxy/network/transfer_test.go
+++ b/internal/proxy/network/transfer_test.go
@@ -18,33 +18,34 @@
 	"dewknot/internal/proxy/relay"
 )
 
-// pieceSource answers for nodes that know one version of a large object.
-type pieceSource struct {
+// fakePieceSource answers for nodes that know one version of a large object.
+type fakePieceSource struct {
 	Peers
 	cache *objectstore.Cache
-	// fails tells what befalls the question with a number.
-	fails  func(question int) error
-	turned map[int]bool
-	asked  []relay.Question
-	served int
+	// fails returns the error of the nth request. rejected holds the numbers of the requests that
+	// are answered with RetryAfter.
+	fails    func(request int) error
+	rejected map[int]bool
+	requests []relay.Question
+	served   int
 }
 
-// ignoring is a sink that takes everything.
-type ignoring struct{ objectstore.Sink }
+// discardSink ignores all changes.
+type discardSink struct{ objectstore.Sink }
 
-func (ignoring) Apply([]objectstore.Object, era.Revision) {}
-func (ignoring) Reset([]objectstore.Object, era.Revision) {}
+func (discardSink) Apply([]objectstore.Object, era.Revision) {}
+func (discardSink) Reset([]objectstore.Object, era.Revision) {}
 
 // Ask implements Peers.
-func (p *pieceSource) Ask(_ context.Context, _ string, question relay.Question) (relay.Answer, error) {
-	p.asked = append(p.asked, question)
-	if err := p.fails(len(p.asked)); err != nil {
+func (p *fakePieceSource) Ask(_ context.Context, _ string, request relay.Question) (relay.Answer, error) {
+	p.requests = append(p.requests, request)
+	if err := p.fails(len(p.requests)); err != nil {
 		return relay.Answer{}, err
 	}
-	if p.turned[len(p.asked)] {
-		return relay.Answer{Later: 50 * time.Millisecond}, nil
+	if p.rejected[len(p.requests)] {
+		return relay.Answer{RetryAfter: 50 * time.Millisecond}, nil
 	}
-	piece, err := p.cache.Piece(question.Piece.Object, question.Piece.Revision, question.Piece.Offset)
+	piece, err := p.cache.Piece(request.Piece.Object, request.Piece.Revision, request.Piece.Offset)
 	if err != nil {
 		return relay.Answer{Failed: true, Outcome: objectstore.OutcomeOf(err)}, nil
 	}
@@ -52,7 +53,7 @@
 	return relay.Answer{Piece: piece}, nil
 }
 
-// incompressible returns an object of some pieces.
+// incompressible returns an object whose compressed form has the given number of pieces.
 func incompressible(pieces int) objectstore.Object {
 	content := make([]byte, pieces*objectstore.PieceBytes-100)
 	random := rand.NewChaCha8([32]byte{1})
@@ -60,16 +61,16 @@
 	return objectstore.Object{Name: "main", Revision: 7, Content: content}
 }
 
-func newPieceSource(object objectstore.Object) (*pieceSource, objectstore.LargeObject) {
-	cache := objectstore.NewCache(ignoring{})
+func newPieceSource(object objectstore.Object) (*fakePieceSource, objectstore.LargeObject) {
+	cache := objectstore.NewCache(discardSink{})
 	cache.Apply([]objectstore.Object{object}, object.Revision)
 	_, large := cache.NameLarge([]objectstore.Object{object})
-	return &pieceSource{cache: cache, turned: map[int]bool{}, fails: func(int) error { return nil }}, large[0]
+	return &fakePieceSource{cache: cache, rejected: map[int]bool{}, fails: func(int) error { return nil }}, large[0]
 }
 
-// TestTransferGoesOnWhereItFailed: whatever questions fail, each piece is sent once, and
-// the object is whole in the end.
-func TestTransferGoesOnWhereItFailed(t *testing.T) {
+// TestTransferResumesAfterFailures guards against pieces that are sent twice and incomplete objects
+// after failed requests.
+func TestTransferResumesAfterFailures(t *testing.T) {
 	for seed := range uint64(20) {
 		bubbletest.Test(t, func(t *testing.T) {
 			const pieces = 12
@@ -82,7 +83,7 @@
 				}
 				return nil
 			}
-			node := listedNetwork(nil, source)
+			node := newTestNetwork(nil, source)
 			defer node.Log.Close()
 			var fetched objectstore.Object
 			err := net.ErrClosed
@@ -97,35 +98,35 @@
 	}
 }
 
-// TestTransferComesBackLater: a node that hands out as many pieces as it may is asked
-// again a few times, then left.
-func TestTransferComesBackLater(t *testing.T) {
+// TestTransferRetriesBusyNode guards against a transfer that gives up on a busy node at once, or
+// never.
+func TestTransferRetriesBusyNode(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		source, wanted := newPieceSource(incompressible(4))
-		node := listedNetwork(nil, source)
+		node := newTestNetwork(nil, source)
 		defer node.Log.Close()
-		source.turned = map[int]bool{2: true, 3: true}
+		source.rejected = map[int]bool{2: true, 3: true}
 		began := time.Now()
 		_, err := node.transfers.fetch(t.Context(), "a1", "kind", &wanted)
 		must.NoError(t, err)
 		must.Greater(t, 50*time.Millisecond, time.Since(began))
 		for i := range 100 {
-			source.turned[len(source.asked)+i] = true
+			source.rejected[len(source.requests)+i] = true
 		}
 		_, err = node.transfers.fetch(t.Context(), "a1", "kind", &wanted)
-		must.ErrorIs(t, err, errTurnedAway)
+		must.ErrorIs(t, err, errNodeBusy)
 	})
 }
 
-// TestNewerVersionBeginsAnew: what has arrived of another version is of no use.
-func TestNewerVersionBeginsAnew(t *testing.T) {
+// TestNewerVersionRestartsTransfer guards against mixing pieces of two versions.
+func TestNewerVersionRestartsTransfer(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		object := incompressible(4)
 		source, wanted := newPieceSource(object)
-		node := listedNetwork(nil, source)
+		node := newTestNetwork(nil, source)
 		defer node.Log.Close()
-		source.fails = func(question int) error {
-			if question == 3 {
+		source.fails = func(request int) error {
+			if request == 3 {
 				return net.ErrClosed
 			}
 			return nil
--- a/internal/proxy/relay/compression.go
+++ b/internal/proxy/relay/compression.go
@@ -10,37 +10,37 @@
 	"dewknot/internal/base/codec"
 )
 
-// packedFrom is the size from which an answer is compressed: lists of members and servers,
-// whose entries are alike, become a fifth or less; a position or a yes gains nothing.
-const packedFrom = 512
+// compressMinBytes is the size from which an answer is compressed. Lists of similar entries shrink
+// to a fraction; small answers gain nothing.
+const compressMinBytes = 512
 
-// answer sends an answer, compressed if the question allows it and that is shorter.
-func answer(connection net.Conn, question *Question, told Answer) error {
-	content, err := msgpack.Marshal(told)
+// sendAnswer sends an answer, compressed if the request accepts that and it is shorter.
+func sendAnswer(connection net.Conn, request *Question, reply Answer) error {
+	content, err := msgpack.Marshal(reply)
 	if err != nil {
 		return errors.Wrap(err, "encode an answer to another node")
 	}
-	if question.Packed && len(content) >= packedFrom {
-		if packed := s2.EncodeBetter(nil, content); len(packed) < len(content) {
-			return send(connection, Answer{Packed: packed})
+	if request.AcceptCompressed && len(content) >= compressMinBytes {
+		if compressed := s2.EncodeBetter(nil, content); len(compressed) < len(content) {
+			return send(connection, Answer{Compressed: compressed})
 		}
 	}
 	return write(connection, content)
 }
 
-// unpack returns the answer that compressed content holds.
-func unpack(packed []byte) (Answer, error) {
-	var told Answer
-	size, err := s2.DecodedLen(packed)
+// decompress decodes a compressed answer.
+func decompress(compressed []byte) (Answer, error) {
+	var answer Answer
+	size, err := s2.DecodedLen(compressed)
 	if err != nil {
-		return told, errors.Wrap(err, "unpack an answer of another node")
+		return answer, errors.Wrap(err, "decompress an answer of another node")
 	}
 	if size > maxMessageBytes {
-		return told, errors.Errorf("an answer of another node unpacks to %d bytes; %d are allowed", size, maxMessageBytes)
+		return answer, errors.Errorf("an answer of another node has %d bytes after decompression; the maximum is %d", size, maxMessageBytes)
 	}
-	content, err := s2.Decode(nil, packed)
+	content, err := s2.Decode(nil, compressed)
 	if err != nil {
-		return told, errors.Wrap(err, "unpack an answer of another node")
+		return answer, errors.Wrap(err, "decompress an answer of another node")
 	}
-	return told, errors.Wrap(codec.Decode(content, &told), "decode an answer of another node")
+	return answer, errors.Wrap(codec.Decode(content, &answer), "decode an answer of another node")
 }
--- a/internal/proxy/relay/pieces.go
+++ b/internal/proxy/relay/pieces.go
@@ -6,46 +6,45 @@
 )
 
 const (
-	// maxPieces is how many pieces of large objects a node sends at a time: with
-	// pieces of 32 KB, 0.4 s of a link of 2 Mbit/s, so that small answers still come
-	// within their limits.
-	maxPieces = 3
-	// leastLater and mostLater bound the time after which an asker is told to come back.
-	leastLater = 20 * time.Millisecond
-	mostLater  = 500 * time.Millisecond
+	// maxConcurrentPieces is the number of pieces of large objects that a node sends at a time.
+	// It leaves enough of a slow link for small answers to meet their timeouts.
+	maxConcurrentPieces = 3
+	// minRetryAfter and maxRetryAfter bound the delay that a rejected client is given.
+	minRetryAfter = 20 * time.Millisecond
+	maxRetryAfter = 500 * time.Millisecond
 )
 
-// pieceGate bounds the pieces that are sent at a time and tells the others when to
-// ask again: in about the time that a piece has lately taken.
-type pieceGate struct {
+// pieceLimiter limits the pieces that are sent at a time. It gives other clients a delay that is
+// based on the average time to send a piece. It is safe for concurrent use.
+type pieceLimiter struct {
 	mu      *sync.Mutex
 	sending int
-	// refused counts the askers that were sent away since a piece was last begun.
-	refused int
-	usual   time.Duration
+	// rejected counts the clients that were rejected since a piece was last begun.
+	rejected    int
+	averageTime time.Duration
 }
 
-func newPieceGate() pieceGate { return pieceGate{mu: &sync.Mutex{}} }
+func newPieceLimiter() pieceLimiter { return pieceLimiter{mu: &sync.Mutex{}} }
 
-// enter begins a piece, or tells after which time to ask again.
-func (g *pieceGate) enter() (began time.Time, later time.Duration) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.sending < maxPieces {
-		g.sending++
-		g.refused = 0
+// acquire begins a piece, or returns the delay after which to retry.
+func (l *pieceLimiter) acquire() (began time.Time, retryAfter time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.sending < maxConcurrentPieces {
+		l.sending++
+		l.rejected = 0
 		return time.Now(), 0
 	}
-	g.refused++
-	turns := time.Duration(1 + g.refused/maxPieces)
-	return time.Time{}, min(max(turns*g.usual, leastLater), mostLater)
+	l.rejected++
+	rounds := time.Duration(1 + l.rejected/maxConcurrentPieces)
+	return time.Time{}, min(max(rounds*l.averageTime, minRetryAfter), maxRetryAfter)
 }
 
-// leave ends a piece that took some time to send.
-func (g *pieceGate) leave(took time.Duration) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.sending--
+// release ends a piece that took the given time to send.
+func (l *pieceLimiter) release(took time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.sending--
 	const weight = 4
-	g.usual += (took - g.usual) / weight
+	l.averageTime += (took - l.averageTime) / weight
 }
--- a/internal/proxy/relay/pieces_test.go
+++ b/internal/proxy/relay/pieces_test.go
@@ -14,91 +14,92 @@
 	"dewknot/internal/proxy/objectstore"
 )
 
-// large answers every question with a megabyte.
-type large struct{ echo }
+// largeAnswerer answers every request with a megabyte.
+type largeAnswerer struct{ echo }
 
 const largeBytes = 1 << 20
 
-func (large) Answer(context.Context, Question) Answer {
+func (largeAnswerer) Answer(context.Context, Question) Answer {
 	return Answer{Objects: []objectstore.Object{{Content: make([]byte, largeBytes)}}}
 }
 
-// slowConn takes what it reads at a limited rate.
+// slowConn reads at a limited rate.
 type slowConn struct {
 	net.Conn
-	perSecond int
+	bytesPerSecond int
 }
 
 func (c *slowConn) Read(buffer []byte) (int, error) {
 	n, err := c.Conn.Read(buffer[:min(len(buffer), 4<<10)])
-	time.Sleep(time.Duration(n) * time.Second / time.Duration(c.perSecond))
+	time.Sleep(time.Duration(n) * time.Second / time.Duration(c.bytesPerSecond))
 	return n, err
 }
 
-// TestSlowAskerGetsALargeAnswer: an answer that takes longer than any limit of the
-// protocol arrives, as long as the asker takes some of it.
-func TestSlowAskerGetsALargeAnswer(t *testing.T) {
+// TestSlowClientReceivesLargeAnswer guards against a timeout of a large answer although the client
+// keeps reading.
+func TestSlowClientReceivesLargeAnswer(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
-		here, there := net.Pipe()
-		s := &server{handler: large{}, pieces: newPieceGate()}
-		go s.serve(there)
+		local, remote := net.Pipe()
+		s := &server{handler: largeAnswerer{}, pieces: newPieceLimiter()}
+		go s.serve(remote)
 		ctx, cancel := stall.WithLimit(t.Context(), time.Second, time.Second)
 		defer cancel()
-		defer context.AfterFunc(ctx, func() { _ = here.Close() })()
+		defer context.AfterFunc(ctx, func() { _ = local.Close() })()
 		began := time.Now()
-		must.NoError(t, send(here, Question{Kind: "k"}))
+		must.NoError(t, send(local, Question{Kind: "k"}))
 		var answer Answer
-		must.NoError(t, receive(stall.Reader(ctx, &slowConn{here, 100 << 10}), &answer))
+		must.NoError(t, receive(stall.Reader(ctx, &slowConn{local, 100 << 10}), &answer))
 		must.Eq(t, largeBytes, len(answer.Objects[0].Content))
-		must.Greater(t, 2*serveLimit, time.Since(began))
-		_ = here.Close()
+		must.Greater(t, 2*ioTimeout, time.Since(began))
+		_ = local.Close()
 	})
 }
 
-// TestAskerThatTakesNothingIsLeft: the process does not keep an answer for ever.
-func TestAskerThatTakesNothingIsLeft(t *testing.T) {
+// TestStalledClientIsDropped guards against holding an answer forever for a client that reads
+// nothing.
+func TestStalledClientIsDropped(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
-		here, there := net.Pipe()
-		s := &server{handler: large{}, pieces: newPieceGate()}
+		local, remote := net.Pipe()
+		s := &server{handler: largeAnswerer{}, pieces: newPieceLimiter()}
 		ended := make(chan time.Time, 1)
 		go func() {
-			s.serve(there)
+			s.serve(remote)
 			ended <- time.Now()
 		}()
 		began := time.Now()
-		must.NoError(t, send(here, Question{Kind: "k"}))
-		must.Less(t, serveLimit+100*time.Millisecond, (<-ended).Sub(began))
-		_, err := io.Copy(io.Discard, here)
+		must.NoError(t, send(local, Question{Kind: "k"}))
+		must.Less(t, ioTimeout+100*time.Millisecond, (<-ended).Sub(began))
+		_, err := io.Copy(io.Discard, local)
 		must.NoError(t, err)
 	})
 }
 
-// TestPiecesAreBounded: a node sends a few pieces at a time and tells the others when
-// to come back, later the more there are.
-func TestPiecesAreBounded(t *testing.T) {
-	g := newPieceGate()
-	for range maxPieces {
-		_, later := g.enter()
-		must.Zero(t, later)
+// TestConcurrentPiecesAreLimited guards against sending too many pieces at a time and against
+// retry delays that do not grow with the number of waiting clients.
+func TestConcurrentPiecesAreLimited(t *testing.T) {
+	limiter := newPieceLimiter()
+	for range maxConcurrentPieces {
+		_, retryAfter := limiter.acquire()
+		must.Zero(t, retryAfter)
 	}
-	_, first := g.enter()
-	must.Eq(t, leastLater, first)
+	_, first := limiter.acquire()
+	must.Eq(t, minRetryAfter, first)
 	for range 100 {
-		g.leave(400 * time.Millisecond)
-		_, later := g.enter()
-		must.Zero(t, later)
+		limiter.release(400 * time.Millisecond)
+		_, retryAfter := limiter.acquire()
+		must.Zero(t, retryAfter)
 	}
 	previous := time.Duration(0)
 	for range 10 {
-		_, later := g.enter()
-		must.GreaterEq(t, previous, later)
-		must.LessEq(t, mostLater, later)
-		previous = later
+		_, retryAfter := limiter.acquire()
+		must.GreaterEq(t, previous, retryAfter)
+		must.LessEq(t, maxRetryAfter, retryAfter)
+		previous = retryAfter
 	}
-	must.Eq(t, mostLater, previous)
-	for range maxPieces {
-		g.leave(0)
+	must.Eq(t, maxRetryAfter, previous)
+	for range maxConcurrentPieces {
+		limiter.release(0)
 	}
-	_, later := g.enter()
-	must.Zero(t, later)
+	_, retryAfter := limiter.acquire()
+	must.Zero(t, retryAfter)
 }
--- a/internal/proxy/relay/relay.go
+++ b/internal/proxy/relay/relay.go
@@ -1,10 +1,10 @@
-// Package relay is the protocol between nodes: a node that the store does not
-// serve asks others for what they know, and the holder of a failover lease asks
-// others whether they reach a server.
+// Package relay implements the protocol between nodes. A node that gets no answer from the store
+// asks others for what they know, and the holder of a failover lease asks others whether they reach
+// a server.
 //
-// A connection carries one question and one answer, each a msgpack value behind
-// its length. Questions are rare, so connections are not kept, except those that
-// become a tunnel to a server or a link of package remote.
+// A connection carries one request and one answer, each a msgpack value with a length prefix.
+// Requests are rare, so connections are not reused, except those that become a tunnel to a server or
+// a link of package remote.
 package relay
 
 import (
@@ -27,76 +27,77 @@
 	"dewknot/internal/proxy/traffic"
 )
 
-// Question is what one node asks another.
+// Question is a request to another node.
 type Question struct {
-	// Kind, if set, asks for the objects of a kind: all of them, or with
-	// Changes the changes after a revision, waiting up to Wait for one.
+	// Kind, if set, requests the objects of a kind: all of them, or with Changes those changed
+	// after a revision, waiting up to Wait for a change.
 	Kind    string        `msgpack:"k,omitempty"`
 	Changes bool          `msgpack:"c,omitempty"`
 	After   era.Revision  `msgpack:"a,omitempty"`
 	Wait    time.Duration `msgpack:"w,omitempty"`
-	// Within, with Changes, refuses an answer from a node that the store itself has
-	// not answered for so long.
-	Within time.Duration `msgpack:"i,omitempty"`
-	// Patches, with Changes, allows objects to be told as patches of the versions
-	// that were in force at After.
-	Patches bool `msgpack:"p,omitempty"`
-	// Pieces allows large objects to be named in place of told.
-	Pieces bool `msgpack:"g,omitempty"`
-	// Piece, if set, asks for a part of a large object of the kind.
+	// MaxAge rejects answers from a node whose last answer from the store is older. For members
+	// and leases it is the maximum age of the listing.
+	MaxAge time.Duration `msgpack:"i,omitempty"`
+	// AcceptPatches, with Changes, allows objects to be sent as patches of the versions in force
+	// at After.
+	AcceptPatches bool `msgpack:"p,omitempty"`
+	// AcceptPieces allows large objects to be announced instead of sent.
+	AcceptPieces bool `msgpack:"g,omitempty"`
+	// Piece, if set, requests a part of a large object of the kind.
 	Piece *Piece `msgpack:"q,omitempty"`
-	// Peek asks for the revision only, of the configuration for its version too.
-	Peek bool `msgpack:"e,omitempty"`
-	// Server, if set, asks whether the node has lately reached a server.
+	// RevisionOnly requests only the revision, and for the configuration also its version. For
+	// members it requests their number.
+	RevisionOnly bool `msgpack:"e,omitempty"`
+	// Server, if set, asks whether the node recently reached a server.
 	Server string `msgpack:"s,omitempty"`
-	// Tunnel, with Server, asks for a connection to the server through the node:
-	// after an answer with Reached, the connection carries its bytes.
+	// Tunnel, with Server, requests a connection to the server through the node. After an answer
+	// with Reached, the connection carries the server's bytes.
 	Tunnel bool `msgpack:"t,omitempty"`
-	// StepDown, with Server, asks the node to make the server give up the lead; the
-	// answer has Reached if it did.
+	// StepDown, with Server, requests that the node demotes the server. The answer has Reached set
+	// if it did.
 	StepDown bool `msgpack:"d,omitempty"`
-	// Link asks the node to serve operations on its connections: after an answer
-	// with Reached, the connection is a link of package remote.
+	// Link requests that the node serves operations on its connections. After an answer with
+	// Reached, the connection is a link of package remote.
 	Link bool `msgpack:"l,omitempty"`
-	// Packed allows an answer to come compressed.
-	Packed bool `msgpack:"u,omitempty"`
+	// AcceptCompressed allows a compressed answer.
+	AcceptCompressed bool `msgpack:"u,omitempty"`
 }
 
-// Piece names the part of a version of an object that begins at an offset.
+// Piece identifies the part at an offset of a version of an object.
 type Piece struct {
 	Object   string       `msgpack:"o"`
 	Revision era.Revision `msgpack:"r"`
 	Offset   int          `msgpack:"f,omitempty"`
 }
 
-// Answer is the answer to a question.
+// Answer is the answer to a request.
 type Answer struct {
-	// Failed carries the outcome of a question for objects that failed.
+	// Failed is set if a request for objects failed with Outcome.
 	Failed   bool                 `msgpack:"f,omitempty"`
 	Outcome  objectstore.Outcome  `msgpack:"o,omitempty"`
 	Objects  []objectstore.Object `msgpack:"x,omitempty"`
 	Revision era.Revision         `msgpack:"r,omitempty"`
-	// Patched are further objects, told as patches.
+	// Patched are further objects, sent as patches.
 	Patched []objectstore.PatchedObject `msgpack:"d,omitempty"`
-	// Large names further objects, to be asked for in pieces.
+	// Large announces further objects, to be requested in pieces.
 	Large []objectstore.LargeObject `msgpack:"g,omitempty"`
-	// Piece is the part of an object that was asked for. If Later is set in its place,
-	// the node hands out as many as it may, and is to be asked again after that.
-	Piece []byte        `msgpack:"b,omitempty"`
-	Later time.Duration `msgpack:"z,omitempty"`
-	// Reached answers a question about a server.
+	// Piece is the requested part of an object. If RetryAfter is set instead, the node already
+	// sends the maximum number of pieces; retry after that delay.
+	Piece      []byte        `msgpack:"b,omitempty"`
+	RetryAfter time.Duration `msgpack:"z,omitempty"`
+	// Reached answers a request about a server.
 	Reached bool `msgpack:"y,omitempty"`
-	// Received is the end of the log of a server that has stepped down.
+	// Received is the end of the log of a server that was demoted.
 	Received position.Position `msgpack:"v,omitempty"`
-	// Version, with Peek, is that of the configuration that the node knows.
+	// Version, with RevisionOnly, is the version of the configuration that the node knows.
 	Version uint64 `msgpack:"n,omitempty"`
-	// Packed, if set, is the whole answer, compressed, in place of the other fields.
-	Packed []byte `msgpack:"s,omitempty"`
+	// Compressed, if set, is the complete answer in compressed form. The other fields are unset.
+	Compressed []byte `msgpack:"s,omitempty"`
 }
 
-// Handler answers questions.
+// Handler answers requests.
 type Handler interface {
-	Answer(ctx context.Context, question Question) Answer
+	Answer(ctx context.Context, request Question) Answer
 	// Connect opens a connection to a server, for a tunnel.
 	Connect(ctx context.Context, server string) (net.Conn, error)
 	// ServeLink serves a link until it ends.
@@ -107,131 +108,129 @@
 const (
 	maxMessageBytes = 32 << 20
 	lengthBytes     = 4
-	// serveLimit bounds the reading of a question, and the silence of an asker that
-	// takes an answer.
-	serveLimit = 3 * time.Second
-	// writeBytes is how much is written at a time: an asker on a slow link takes each
-	// such part within serveLimit.
-	writeBytes = 16 << 10
-	// dialLimit bounds the opening of a connection.
-	dialLimit = 400 * time.Millisecond
-	// maxWait bounds the wait that a question may ask for.
+	// ioTimeout bounds the read of a request, and each write of a part of an answer.
+	ioTimeout = 3 * time.Second
+	// writeChunkBytes is the size of a write. A client on a slow link has to receive each chunk
+	// within ioTimeout.
+	writeChunkBytes = 16 << 10
+	// dialTimeout bounds the opening of a connection.
+	dialTimeout = 400 * time.Millisecond
+	// maxWait bounds the wait that a request may ask for.
 	maxWait = 30 * time.Second
 )
 
-// Accounting tells what bytes of questions and answers are for. Its zero value counts none.
+// Accounting assigns the bytes of connections to kinds of traffic. The zero value counts nothing.
 type Accounting struct {
 	Meter *traffic.Meter
-	// Kinds are those of the objects that are asked for.
+	// Kinds maps the kinds of requested objects to kinds of traffic.
 	Kinds map[string]traffic.Kind
 }
 
-// set tells what the bytes of a connection are for.
-func (a *Accounting) set(connection net.Conn, question *Question) {
-	kind := a.Kinds[question.Kind]
+// setKind sets the kind of a connection's traffic.
+func (a *Accounting) setKind(connection net.Conn, request *Question) {
+	kind := a.Kinds[request.Kind]
 	switch {
-	case question.Link:
+	case request.Link:
 		kind = traffic.Links
-	case question.Tunnel:
+	case request.Tunnel:
 		kind = traffic.Tunnels
 	}
 	traffic.SetKind(connection, kind)
 }
 
-// server answers questions.
+// server answers requests.
 type server struct {
 	handler    Handler
-	pieces     pieceGate
+	pieces     pieceLimiter
 	accounting Accounting
 }
 
-// Serve answers questions until the listener is closed.
+// Serve answers requests until the listener is closed.
 func Serve(listener net.Listener, handler Handler, accounting Accounting) {
-	s := &server{handler: handler, pieces: newPieceGate(), accounting: accounting}
+	s := &server{handler: handler, pieces: newPieceLimiter(), accounting: accounting}
 	for {
 		connection, err := listener.Accept()
 		if err != nil {
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			time.Sleep(acceptPause)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		go s.serve(accounting.Meter.Count(connection))
 	}
 }
 
-// acceptPause is the pause after a connection could not be accepted.
-const acceptPause = 20 * time.Millisecond
+// acceptRetryDelay is the delay after a failed accept.
+const acceptRetryDelay = 20 * time.Millisecond
 
-// serve answers the one question of a connection.
+// serve answers the single request of a connection.
 func (s *server) serve(connection net.Conn) {
 	defer func() { _ = connection.Close() }()
-	_ = connection.SetReadDeadline(time.Now().Add(serveLimit))
-	var question Question
-	if receive(connection, &question) != nil {
+	_ = connection.SetReadDeadline(time.Now().Add(ioTimeout))
+	var request Question
+	if receive(connection, &request) != nil {
 		return
 	}
-	s.accounting.set(connection, &question)
-	question.Wait = min(max(question.Wait, 0), maxWait)
-	ctx, cancel := context.WithTimeout(context.Background(), question.Wait+serveLimit)
+	s.accounting.setKind(connection, &request)
+	request.Wait = min(max(request.Wait, 0), maxWait)
+	ctx, cancel := context.WithTimeout(context.Background(), request.Wait+ioTimeout)
 	defer cancel()
 	switch {
-	case question.Tunnel:
-		_ = connection.SetDeadline(time.Now().Add(question.Wait + serveLimit))
-		serveTunnel(ctx, connection, s.handler, question.Server)
-	case question.Link:
+	case request.Tunnel:
+		_ = connection.SetDeadline(time.Now().Add(request.Wait + ioTimeout))
+		serveTunnel(ctx, connection, s.handler, request.Server)
+	case request.Link:
 		if send(connection, Answer{Reached: true}) == nil {
 			_ = connection.SetDeadline(time.Time{})
 			s.handler.ServeLink(connection)
 		}
-	case question.Piece != nil:
-		s.servePiece(ctx, connection, question)
+	case request.Piece != nil:
+		s.servePiece(ctx, connection, request)
 	default:
-		_ = answer(connection, &question, s.handler.Answer(ctx, question))
+		_ = sendAnswer(connection, &request, s.handler.Answer(ctx, request))
 	}
 }
 
-// servePiece answers with a piece, unless as many as may be are on their way.
-func (s *server) servePiece(ctx context.Context, connection net.Conn, question Question) {
-	began, later := s.pieces.enter()
-	if later > 0 {
-		_ = send(connection, Answer{Later: later})
+// servePiece answers with a piece, or with a retry delay if too many pieces are being sent.
+func (s *server) servePiece(ctx context.Context, connection net.Conn, request Question) {
+	began, retryAfter := s.pieces.acquire()
+	if retryAfter > 0 {
+		_ = send(connection, Answer{RetryAfter: retryAfter})
 		return
 	}
-	defer func() { s.pieces.leave(time.Since(began)) }()
-	_ = send(connection, s.handler.Answer(ctx, question))
+	defer func() { s.pieces.release(time.Since(began)) }()
+	_ = send(connection, s.handler.Answer(ctx, request))
 }
 
-// serveTunnel carries bytes between the asking node and a server until either
-// side ends.
+// serveTunnel copies bytes between the requesting node and a server until either side ends.
 func serveTunnel(ctx context.Context, connection net.Conn, handler Handler, server string) {
-	opened, err := handler.Connect(ctx, server)
+	target, err := handler.Connect(ctx, server)
 	if send(connection, Answer{Reached: err == nil}) != nil || err != nil {
 		if err == nil {
-			_ = opened.Close()
+			_ = target.Close()
 		}
 		return
 	}
-	defer func() { _ = opened.Close() }()
+	defer func() { _ = target.Close() }()
 	_ = connection.SetDeadline(time.Time{})
 	done := make(chan struct{}, 1)
-	carry := func(to, from net.Conn) {
+	copyAndClose := func(to, from net.Conn) {
 		_, _ = io.Copy(to, from)
-		// Closing both ends the other direction too: half a tunnel is of no use.
+		// Close both, which ends the other direction too.
 		_ = to.Close()
 		_ = from.Close()
 		done <- struct{}{}
 	}
-	go carry(opened, connection)
-	carry(connection, opened)
+	go copyAndClose(target, connection)
+	copyAndClose(connection, target)
 	<-done
 }
 
-// ErrNotReached is returned when the other node cannot reach the server either.
+// ErrNotReached is returned if the other node cannot reach the server either.
 var ErrNotReached = errors.New("the other node does not reach the server; ask a different one")
 
-// Asker asks other nodes.
+// Asker sends requests to other nodes.
 type Asker struct{ Accounting }
 
 // Tunnel opens a connection to a server through the node at an address.
@@ -244,19 +243,19 @@
 	return a.open(ctx, address, Question{Link: true})
 }
 
-// open asks a question after whose answer the connection goes on.
-func (a *Asker) open(ctx context.Context, address string, question Question) (net.Conn, error) {
+// open sends a request after whose answer the connection stays open.
+func (a *Asker) open(ctx context.Context, address string, request Question) (net.Conn, error) {
 	connection, err := liveness.Dialer(0).DialContext(ctx, "tcp4", address)
 	if err != nil {
 		return nil, errors.Wrap(err, "reach another node; ask a different one")
 	}
 	connection = a.Meter.Count(connection)
-	a.set(connection, &question)
+	a.setKind(connection, &request)
 	if deadline, set := ctx.Deadline(); set {
 		_ = connection.SetDeadline(deadline)
 	}
 	var answer Answer
-	if err = send(connection, question); err == nil {
+	if err = send(connection, request); err == nil {
 		err = receive(connection, &answer)
 	}
 	if err == nil && !answer.Reached {
@@ -270,32 +269,32 @@
 	return connection, nil
 }
 
-// Ask asks the node at an address.
-func (a *Asker) Ask(ctx context.Context, address string, question Question) (Answer, error) {
-	connection, err := liveness.Dialer(dialLimit).DialContext(ctx, "tcp4", address)
+// Ask sends a request to the node at an address and returns its answer.
+func (a *Asker) Ask(ctx context.Context, address string, request Question) (Answer, error) {
+	connection, err := liveness.Dialer(dialTimeout).DialContext(ctx, "tcp4", address)
 	if err != nil {
 		return Answer{}, errors.Wrap(err, "reach another node; ask a different one")
 	}
 	connection = a.Meter.Count(connection)
-	a.set(connection, &question)
+	a.setKind(connection, &request)
 	defer func() { _ = connection.Close() }()
 	if deadline, set := ctx.Deadline(); set {
 		_ = connection.SetReadDeadline(deadline)
 	}
-	// A question whose answer is no longer wanted ends at once.
+	// A canceled request ends immediately.
 	defer context.AfterFunc(ctx, func() { _ = connection.SetDeadline(time.Now()) })()
-	question.Packed = true
-	if err := send(connection, question); err != nil {
+	request.AcceptCompressed = true
+	if err := send(connection, request); err != nil {
 		return Answer{}, err
 	}
 	var answer Answer
-	if err = receive(stall.Reader(ctx, connection), &answer); err != nil || answer.Packed == nil {
+	if err = receive(stall.Reader(ctx, connection), &answer); err != nil || answer.Compressed == nil {
 		return answer, err
 	}
-	return unpack(answer.Packed)
+	return decompress(answer.Compressed)
 }
 
-// send writes a message in parts, each of which the other end has to take in time.
+// send encodes and writes a message.
 func send(connection net.Conn, message any) error {
 	content, err := msgpack.Marshal(message)
 	if err != nil {
@@ -304,11 +303,12 @@
 	return write(connection, content)
 }
 
-// write writes an encoded message behind its length.
+// write writes an encoded message with a length prefix, in chunks that the other end has to receive
+// in time.
 func write(connection net.Conn, content []byte) error {
 	framed := binary.BigEndian.AppendUint32(make([]byte, 0, len(content)+lengthBytes), uint32(len(content)))
-	for part := range slices.Chunk(append(framed, content...), writeBytes) {
-		_ = connection.SetWriteDeadline(time.Now().Add(serveLimit))
+	for part := range slices.Chunk(append(framed, content...), writeChunkBytes) {
+		_ = connection.SetWriteDeadline(time.Now().Add(ioTimeout))
 		if _, err := connection.Write(part); err != nil {
 			return errors.Wrap(err, "send a message to another node")
 		}
@@ -316,6 +316,7 @@
 	return nil
 }
 
+// receive reads and decodes a message.
 func receive(connection io.Reader, message any) error {
 	var length [lengthBytes]byte
 	if _, err := io.ReadFull(connection, length[:]); err != nil {
@@ -323,7 +324,7 @@
 	}
 	size := binary.BigEndian.Uint32(length[:])
 	if size > maxMessageBytes {
-		return errors.Errorf("a message between nodes has %d bytes; %d are allowed", size, maxMessageBytes)
+		return errors.Errorf("a message between nodes has %d bytes; the maximum is %d", size, maxMessageBytes)
 	}
 	content, err := io.ReadAll(io.LimitReader(connection, int64(size)))
 	if err != nil || len(content) < int(size) {
--- a/internal/proxy/relay/relay_test.go
+++ b/internal/proxy/relay/relay_test.go
@@ -15,17 +15,17 @@
 	"dewknot/internal/proxy/objectstore"
 )
 
-// echo answers with what it was asked.
+// echo answers with the fields of the request.
 type echo struct{}
 
-func (echo) Answer(_ context.Context, question Question) Answer {
+func (echo) Answer(_ context.Context, request Question) Answer {
 	return Answer{
-		Objects:  []objectstore.Object{{Name: question.Kind, Revision: question.After, Content: []byte("content")}},
-		Revision: era.Revision(question.Wait), Reached: question.Server != "",
+		Objects:  []objectstore.Object{{Name: request.Kind, Revision: request.After, Content: []byte("content")}},
+		Revision: era.Revision(request.Wait), Reached: request.Server != "",
 	}
 }
 
-// ServeLink sends back what it gets.
+// ServeLink sends back what it receives.
 func (echo) ServeLink(connection net.Conn) {
 	buffer := make([]byte, 64)
 	for {
@@ -43,7 +43,7 @@
 	return dialer.DialContext(ctx, "tcp4", server)
 }
 
-func serve(t *testing.T) string {
+func startServer(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -52,8 +52,9 @@
 	return listener.Addr().String()
 }
 
-func TestQuestionsAreAnswered(t *testing.T) {
-	address := serve(t)
+// TestRequestsAreAnswered guards against fields lost in transmission and unlimited waits.
+func TestRequestsAreAnswered(t *testing.T) {
+	address := startServer(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
 	answer, err := new(Asker).Ask(ctx, address, Question{Kind: "servers", Changes: true, After: 7, Wait: time.Second, Server: "s1"})
@@ -61,18 +62,19 @@
 	must.Eq(t, Answer{
 		Objects: []objectstore.Object{{Name: "servers", Revision: 7, Content: []byte("content")}}, Revision: era.Revision(time.Second), Reached: true,
 	}, answer)
-	// A wait beyond what is allowed is cut down.
+	// A wait beyond the maximum is capped.
 	answer, err = new(Asker).Ask(ctx, address, Question{Wait: time.Hour})
 	must.NoError(t, err)
 	must.Eq(t, era.Revision(maxWait), answer.Revision)
 }
 
-func TestMeaninglessMessagesHarmNobody(t *testing.T) {
-	address := serve(t)
-	for _, hostile := range [][]byte{{}, {0, 0}, {255, 255, 255, 255, 1}, {0, 0, 0, 9, 1}, {0, 0, 0, 2, 0xc1, 0xc1}} {
+// TestMalformedMessagesAreIgnored guards against a server that stops after malformed messages.
+func TestMalformedMessagesAreIgnored(t *testing.T) {
+	address := startServer(t)
+	for _, malformed := range [][]byte{{}, {0, 0}, {255, 255, 255, 255, 1}, {0, 0, 0, 9, 1}, {0, 0, 0, 2, 0xc1, 0xc1}} {
 		connection, err := net.Dial("tcp4", address)
 		must.NoError(t, err)
-		_, _ = connection.Write(hostile)
+		_, _ = connection.Write(malformed)
 		must.NoError(t, connection.Close())
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
@@ -81,7 +83,7 @@
 	must.NoError(t, err)
 }
 
-func TestNodeThatIsGoneIsAnError(t *testing.T) {
+func TestUnreachableNodeIsAnError(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	must.NoError(t, err)
 	must.NoError(t, listener.Close())
@@ -89,11 +91,11 @@
 	must.Error(t, err)
 }
 
-// TestLinkIsHandedOver opens the connection of a link.
-func TestLinkIsHandedOver(t *testing.T) {
+// TestLinkCarriesBytes guards against a link that does not carry bytes both ways.
+func TestLinkCarriesBytes(t *testing.T) {
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
-	link, err := new(Asker).Link(ctx, serve(t))
+	link, err := new(Asker).Link(ctx, startServer(t))
 	must.NoError(t, err)
 	_, err = link.Write([]byte("frame"))
 	must.NoError(t, err)
@@ -104,10 +106,10 @@
 	must.NoError(t, link.Close())
 }
 
-// TestTunnelCarriesBytesBothWaysAndEnds drives a tunnel to a listener that sends
-// back what it gets, and to one that does not exist.
-func TestTunnelCarriesBytesBothWaysAndEnds(t *testing.T) {
-	address := serve(t)
+// TestTunnelCarriesBytesAndCloses guards against a tunnel that loses bytes or stays open, and
+// against a missing error for a server that does not exist.
+func TestTunnelCarriesBytesAndCloses(t *testing.T) {
+	address := startServer(t)
 	server, err := net.Listen("tcp4", "127.0.0.1:0")
 	must.NoError(t, err)
 	closed := make(chan struct{})
@@ -145,36 +147,36 @@
 	must.ErrorIs(t, err, ErrNotReached)
 }
 
-// TestAnswersOfAlikeEntriesAreCompressed: a list of alike entries takes a fraction of its
-// size, an asker of an older version gets it as it is, and rubbish is an error.
-func TestAnswersOfAlikeEntriesAreCompressed(t *testing.T) {
-	told := Answer{Revision: 7}
+// TestAnswersAreCompressed guards against large answers of similar entries, compressed answers that
+// the client does not accept, and malformed compressed answers that are accepted.
+func TestAnswersAreCompressed(t *testing.T) {
+	sent := Answer{Revision: 7}
 	for i := range 300 {
-		told.Objects = append(told.Objects, objectstore.Object{
+		sent.Objects = append(sent.Objects, objectstore.Object{
 			Name: fmt.Sprintf("node-%d", i), Revision: era.Revision(i), Content: fmt.Appendf(nil, `{"address":"10.6.0.%d:7102","zone":"a"}`, i),
 		})
 	}
 	sizes := map[bool]int{}
-	for _, packed := range []bool{false, true} {
-		here, there := net.Pipe()
+	for _, accepted := range []bool{false, true} {
+		local, remote := net.Pipe()
 		go func() {
-			_ = answer(there, &Question{Packed: packed}, told)
-			_ = there.Close()
+			_ = sendAnswer(remote, &Question{AcceptCompressed: accepted}, sent)
+			_ = remote.Close()
 		}()
-		content, err := io.ReadAll(here)
+		content, err := io.ReadAll(local)
 		must.NoError(t, err)
-		sizes[packed] = len(content)
+		sizes[accepted] = len(content)
 		var received Answer
 		must.NoError(t, receive(bytes.NewReader(content), &received))
-		if packed {
-			received, err = unpack(received.Packed)
+		if accepted {
+			received, err = decompress(received.Compressed)
 			must.NoError(t, err)
 		}
-		must.Eq(t, told, received)
+		must.Eq(t, sent, received)
 	}
 	must.Less(t, sizes[false]/3, sizes[true])
-	for _, rubbish := range [][]byte{{}, {0xff, 0xff, 0xff, 0xff, 0x0f, 1}, []byte("rubbish")} {
-		_, err := unpack(rubbish)
+	for _, malformed := range [][]byte{{}, {0xff, 0xff, 0xff, 0xff, 0x0f, 1}, []byte("rubbish")} {
+		_, err := decompress(malformed)
 		must.Error(t, err)
 	}
 }
--- a/internal/proxy/traffic/traffic.go
+++ b/internal/proxy/traffic/traffic.go
@@ -1,5 +1,5 @@
-// Package traffic counts the bytes that a node exchanges with others by what they are for
-// and how far they go. It decides nothing.
+// Package traffic counts the bytes that a node exchanges with others by kind, distance and
+// direction. It has no influence on the node's behavior.
 package traffic
 
 import (
@@ -11,12 +11,12 @@
 	"github.com/pkg/errors"
 )
 
-// Kind is what bytes are for.
+// Kind is the purpose of bytes.
 type Kind uint8
 
 // The kinds.
 const (
-	// Questions are questions of nodes that belong to no other kind.
+	// Questions are requests between nodes that belong to no other kind.
 	Questions Kind = iota
 	// Links carry operations between a node and the owner of a server's connections.
 	Links
@@ -28,7 +28,7 @@
 	// Tokens are messages about tenants' tokens, Agreement those about tenures.
 	Tokens
 	Agreement
-	// Servers are connections to database servers, Store is the platform's store.
+	// Servers are connections to database servers, Store are calls to the platform's store.
 	Servers
 	Store
 	kinds
@@ -41,7 +41,7 @@
 // String returns the kind's name in logs and metrics.
 func (k Kind) String() string { return kindNames[k] }
 
-// Distance is how far bytes go.
+// Distance is the distance between the ends of a connection.
 type Distance uint8
 
 // The distances, the nearest first.
@@ -49,8 +49,8 @@
 	SameZone Distance = iota
 	SameRegion
 	OtherRegion
-	// Unplaced is the distance to an address that no known member or server has.
-	Unplaced
+	// UnknownDistance is the distance to an address that belongs to no known member or server.
+	UnknownDistance
 	distances
 )
 
@@ -59,7 +59,7 @@
 // String returns the distance's name in logs and metrics.
 func (d Distance) String() string { return distanceNames[d] }
 
-// Direction is which way bytes went.
+// Direction is the direction of bytes as seen by this node.
 type Direction uint8
 
 // The directions.
@@ -80,14 +80,14 @@
 	locate atomic.Pointer[func(address string) Distance]
 }
 
-// Locate sets what tells the distance to a network address.
+// Locate sets the function that returns the distance to a network address.
 func (m *Meter) Locate(locate func(address string) Distance) { m.locate.Store(&locate) }
 
 func (m *Meter) distanceTo(address string) Distance {
 	if locate := m.locate.Load(); locate != nil {
 		return (*locate)(address)
 	}
-	return Unplaced
+	return UnknownDistance
 }
 
 // Add counts the bytes of a datagram exchanged with an address.
@@ -98,18 +98,18 @@
 	m.counts[kind][m.distanceTo(address)][direction].Add(uint64(bytes))
 }
 
-// Each gives a function all counts, those that are zero too.
-func (m *Meter) Each(take func(kind Kind, distance Distance, direction Direction, bytes uint64)) {
+// Each calls visit for each count, including those that are zero.
+func (m *Meter) Each(visit func(kind Kind, distance Distance, direction Direction, bytes uint64)) {
 	for kind := range kinds {
 		for distance := range distances {
 			for direction := range directions {
-				take(kind, distance, direction, m.counts[kind][distance][direction].Load())
+				visit(kind, distance, direction, m.counts[kind][distance][direction].Load())
 			}
 		}
 	}
 }
 
-// Sent returns the bytes sent so far.
+// Sent returns the total number of bytes sent.
 func (m *Meter) Sent() uint64 {
 	sent := uint64(0)
 	m.Each(func(_ Kind, _ Distance, direction Direction, bytes uint64) {
@@ -125,15 +125,15 @@
 	net.Conn
 	meter *Meter
 	mu    sync.Mutex
-	// kind and distance are known once decided is set; what came before is held.
-	decided  bool
+	// kind and distance are valid once kindSet is true. Bytes before that are counted in pending.
+	kindSet  bool
 	kind     Kind
 	distance Distance
-	held     [directions]int
+	pending  [directions]int
 }
 
-// Count returns a connection whose bytes are counted once SetKind has told what they are
-// for: often the first message tells it. Without a meter, it is the connection itself.
+// Count returns a connection whose bytes are counted once SetKind is called, which often happens
+// after the first message. For a nil meter it returns conn itself.
 func (m *Meter) Count(conn net.Conn) net.Conn {
 	if m == nil {
 		return conn
@@ -141,7 +141,8 @@
 	return &Conn{Conn: conn, meter: m}
 }
 
-// SetKind sets what all bytes of a connection of Count are for.
+// SetKind sets the kind of all bytes, past and future, of a connection returned by Count. It ignores
+// other connections.
 func SetKind(conn net.Conn, kind Kind) {
 	c, counted := conn.(*Conn)
 	if !counted {
@@ -149,11 +150,11 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.decided, c.kind, c.distance = true, kind, c.meter.distanceTo(c.RemoteAddr().String())
-	for direction, bytes := range c.held {
+	c.kindSet, c.kind, c.distance = true, kind, c.meter.distanceTo(c.RemoteAddr().String())
+	for direction, bytes := range c.pending {
 		c.meter.counts[kind][c.distance][direction].Add(uint64(bytes))
 	}
-	c.held = [directions]int{}
+	c.pending = [directions]int{}
 }
 
 // Read implements net.Conn.
@@ -173,18 +174,18 @@
 func (c *Conn) count(direction Direction, bytes int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.decided {
-		c.held[direction] += bytes
+	if !c.kindSet {
+		c.pending[direction] += bytes
 		return
 	}
 	c.meter.counts[c.kind][c.distance][direction].Add(uint64(bytes))
 }
 
-// SyscallConn implements syscall.Conn where the connection does: whether an idle one has
-// ended is seen on its descriptor.
+// SyscallConn implements syscall.Conn if the underlying connection does. It allows a check of the
+// descriptor for the end of an idle connection.
 func (c *Conn) SyscallConn() (syscall.RawConn, error) {
 	if raw, ok := c.Conn.(syscall.Conn); ok {
 		return raw.SyscallConn()
 	}
-	return nil, errors.New("the connection has no descriptor; count one of the operating system")
+	return nil, errors.New("the connection has no descriptor; use a connection of the operating system")
 }
