--- a/internal/proxy/network/listings.go
+++ b/internal/proxy/network/listings.go
@@ -257,7 +257,8 @@
 	return decoded, nil
 }
 
-// answerListing answers a request for a listing of a limited age.
+// answerListing answers a request for a listing whose age is limited by MaxAge. It lists at the
+// store if the cached listing is older.
 func (n *Network) answerListing(ctx context.Context, request *relay.Question) relay.Answer {
 	cached := n.listingCache.of(request.Kind)
 	select {
--- a/internal/proxy/network/reachability.go
+++ b/internal/proxy/network/reachability.go
@@ -33,7 +33,8 @@
 	lastStoreFailure time.Time
 	lastStoreProbe   time.Time
 	degraded         bool
-	degradedSince    time.Time
+	// degradedSince is when the node became degraded. Any later answer ends that state.
+	degradedSince time.Time
 }
 
 func newReachability(now time.Time) *reachability {
@@ -72,7 +73,8 @@
 }
 
 // evaluate decides whether the node is degraded. The parameter peers is the number of other known
-// nodes. The result probe asks the caller to probe the store, if only its failure is missing.
+// nodes. The result probe is set if the caller should probe the store, because everything else is
+// silent and no call to the store has failed since.
 func (r *reachability) evaluate(now time.Time, peers int, servers ServerSigns) (degraded, changed, probe bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/proxy/network/reachability_test.go
+++ b/internal/proxy/network/reachability_test.go
@@ -12,7 +12,7 @@
 // although another node, a server or the store answers or was not asked.
 func TestNodeIsDegradedOnlyIfNothingAnswers(t *testing.T) {
 	start := time.Unix(1_000, 0)
-	at := func(span time.Duration) time.Time { return start.Add(span) }
+	at := func(offset time.Duration) time.Time { return start.Add(offset) }
 	silentPeers := func(r *reachability, count int) {
 		for i := range count {
 			r.recordPeer(fmt.Sprint(i), false, at(time.Second))
--- a/internal/proxy/traffic/traffic.go
+++ b/internal/proxy/traffic/traffic.go
@@ -16,8 +16,8 @@
 
 // The kinds.
 const (
-	// Questions are requests between nodes that belong to no other kind.
-	Questions Kind = iota
+	// Requests are requests between nodes that belong to no other kind.
+	Requests Kind = iota
 	// Links carry operations between a node and the owner of a server's connections.
 	Links
 	// Tunnels carry the bytes of a server's connection through another node.
