--- a/internal/base/bubbletest/bubbletest.go
+++ b/internal/base/bubbletest/bubbletest.go
@@ -1,10 +1,9 @@
 // Package bubbletest runs tests on virtual time.
 //
-// It wraps testing/synctest: the race detector keeps one context for the timers
-// of a bubble, and the runtime of Go 1.26 uses it from two threads at once if a
-// timer's function starts a goroutine while another goroutine receives from a timer
-// channel that is due at the same instant. That corrupts the context and ends the
-// process with a fault inside the detector. On one processor the two never meet.
+// It wraps testing/synctest to avoid a crash of the race detector. The detector keeps one
+// context for all timers of a bubble. The runtime of Go 1.26 uses that context from two
+// threads if a timer's function starts a goroutine while another goroutine receives from a
+// timer channel that is due at the same instant. A single processor rules this out.
 package bubbletest
 
 import (
@@ -13,9 +12,8 @@
 	"testing/synctest"
 )
 
-// Test runs a test in a bubble of its own, with all goroutines on one processor. It
-// must not be used by parallel tests, as the number of processors belongs to the
-// whole process.
+// Test runs a test in its own bubble with GOMAXPROCS set to 1. Parallel tests must not use
+// it, because GOMAXPROCS applies to the whole process.
 func Test(t *testing.T, run func(t *testing.T)) {
 	t.Helper()
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
--- a/internal/base/bubbletest/bubbletest_test.go
+++ b/internal/base/bubbletest/bubbletest_test.go
@@ -12,17 +12,16 @@
 	"dewknot/internal/base/bubbletest"
 )
 
-// TestTimersOfOneInstant fires timers that start goroutines and timers that send
-// on channels at the same instants. With plain synctest.Test and the race detector
-// it ended the process 8 times of 8.
-func TestTimersOfOneInstant(t *testing.T) {
+// TestSimultaneousTimers guards against the crash of the race detector: timers that start
+// goroutines and timers that send on channels fire at the same instants.
+func TestSimultaneousTimers(t *testing.T) {
 	processors := runtime.GOMAXPROCS(0)
 	bubbletest.Test(t, func(t *testing.T) {
 		var working sync.WaitGroup
 		for range 200 {
 			working.Go(func() {
 				for range 200 {
-					waitForTimersOfOneInstant()
+					waitForSimultaneousTimers()
 				}
 			})
 		}
@@ -31,7 +30,7 @@
 	must.Eq(t, processors, runtime.GOMAXPROCS(0))
 }
 
-func waitForTimersOfOneInstant() {
+func waitForSimultaneousTimers() {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Millisecond)
 	defer cancel()
 	first, second := time.NewTimer(time.Millisecond), time.NewTimer(time.Millisecond)
--- a/internal/base/codec/codec.go
+++ b/internal/base/codec/codec.go
@@ -1,10 +1,9 @@
-// Package codec is the encoding of the protocols between nodes: msgpack with
-// structures as arrays.
+// Package codec encodes the messages between nodes as msgpack, with structs as arrays.
 //
-// Fields are told apart by their order and their number, so a structure that nodes of an
-// earlier version read must keep its fields: nodes of two versions must understand each
-// other while a fleet is being replaced. What a later version tells besides travels behind
-// the message in a value of its own, which the earlier one does not read (Extended).
+// Fields are identified by their order and number, so a struct that an earlier version reads
+// must keep its fields: nodes of two versions communicate during a rolling upgrade. A later
+// version appends additional data as a separate value after the message. Earlier versions
+// ignore it (see Extended).
 package codec
 
 import (
@@ -14,7 +13,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Append encodes a value at the end of a buffer.
+// Append appends the encoding of a value to a buffer.
 func Append(buffer []byte, value any) ([]byte, error) {
 	out := bytes.NewBuffer(buffer)
 	encoder := msgpack.GetEncoder()
@@ -25,9 +24,9 @@
 	if err := encoder.Encode(value); err != nil {
 		return nil, errors.Wrap(err, "encode")
 	}
-	if extended, is := value.(Extended); is {
-		if more := extended.Extension(); more != nil {
-			if err := encoder.Encode(more); err != nil {
+	if extended, ok := value.(Extended); ok {
+		if extension := extended.Extension(); extension != nil {
+			if err := encoder.Encode(extension); err != nil {
 				return nil, errors.Wrap(err, "encode an extension")
 			}
 		}
@@ -35,19 +34,17 @@
 	return out.Bytes(), nil
 }
 
-// Extended is a message that tells more than an earlier version of it. The fields that hold
-// this are left out of the message itself with the tag `msgpack:"-"`.
+// Extended is a message with data that an earlier version of it does not have. The fields
+// with this data are excluded from the message itself by the tag `msgpack:"-"`.
 type Extended interface {
-	// Extension returns what is told besides, nil if there is nothing.
+	// Extension returns the additional data, nil if there is none.
 	Extension() any
-	// Extend takes it from a message that has an extension.
+	// Extend sets the additional data. It is only called for a message with an extension.
 	Extend(decode func(extension any) error) error
 }
 
-// Decode decodes a value that Append encoded. The data is walked through first: a
-// length that it claims but does not have must not be allocated. A decoder that met
-// such a length has grown its buffer towards it, a megabyte each time, so it is not put
-// back for the next user.
+// Decode decodes a value that Append encoded. It first skips through the data, so that a
+// claimed length beyond the actual data is not allocated.
 func Decode(data []byte, value any) error {
 	rest, err := skip(data)
 	if err != nil {
@@ -56,8 +53,8 @@
 	if err := msgpack.Unmarshal(data, value); err != nil {
 		return errors.Wrap(err, "decode")
 	}
-	extended, is := value.(Extended)
-	if !is || len(rest) == 0 {
+	extended, ok := value.(Extended)
+	if !ok || len(rest) == 0 {
 		return nil
 	}
 	if _, err := skip(rest); err != nil {
@@ -68,13 +65,14 @@
 	})
 }
 
-// skip walks through the first value of the data and returns what is behind it.
+// skip skips the first value of the data and returns the remaining data. A decoder that fails
+// is not returned to the pool: it has grown its buffer towards the claimed length.
 func skip(data []byte) (rest []byte, err error) {
 	reader := bytes.NewReader(data)
 	decoder := msgpack.GetDecoder()
 	decoder.Reset(reader)
 	if err := decoder.Skip(); err != nil {
-		return nil, errors.Wrap(err, "decode: the data is not whole")
+		return nil, errors.Wrap(err, "decode: the data is incomplete")
 	}
 	msgpack.PutDecoder(decoder)
 	return data[len(data)-reader.Len():], nil
--- a/internal/base/codec/codec_test.go
+++ b/internal/base/codec/codec_test.go
@@ -8,17 +8,16 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestClaimedLengthsAreNotKept: data that claims gigabytes which it does not have is
-// refused, and costs no more the hundredth time than the first: a decoder whose buffer
-// grew for it is not used again.
-func TestClaimedLengthsAreNotKept(t *testing.T) {
+// TestClaimedLengthsAreNotAllocated guards against decoders that keep large buffers after
+// data that claims more bytes than it has.
+func TestClaimedLengthsAreNotAllocated(t *testing.T) {
 	defer debug.SetGCPercent(debug.SetGCPercent(-1))
 	const (
 		rounds = 100
-		// mostBytes is what one such message may cost: the decoder's first buffers.
-		mostBytes = 4 << 20
+		// maxBytes bounds the allocations for one such message: the decoder's first buffers.
+		maxBytes = 4 << 20
 	)
-	claimed := []byte{0xc6, 0xc6, 0xc6, 0xc6, 0x81, 1, 2, 3} // 3 GB of bytes, 3 of them there
+	claimed := []byte{0xc6, 0xc6, 0xc6, 0xc6, 0x81, 1, 2, 3} // claims 3 GB, has 3 bytes
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	for range rounds {
@@ -26,10 +25,10 @@
 		must.Error(t, Decode(claimed, &value))
 	}
 	runtime.ReadMemStats(&after)
-	must.Less(t, rounds*mostBytes, after.TotalAlloc-before.TotalAlloc)
+	must.Less(t, rounds*maxBytes, after.TotalAlloc-before.TotalAlloc)
 }
 
-// TestRoundTrip: what Append writes, Decode reads.
+// TestRoundTrip checks that Decode reads what Append writes, and rejects truncated data.
 func TestRoundTrip(t *testing.T) {
 	type message struct {
 		Name string
--- a/internal/base/era/era_test.go
+++ b/internal/base/era/era_test.go
@@ -25,9 +25,9 @@
 	})
 }
 
-func TestRevisionsOutOfRangeAreRefused(t *testing.T) {
-	for _, bad := range [][2]uint64{{maxEra + 1, 0}, {0, maxNumber + 1}} {
-		_, err := New(bad[0], bad[1])
+func TestRevisionsOutOfRangeAreRejected(t *testing.T) {
+	for _, invalid := range [][2]uint64{{maxEra + 1, 0}, {0, maxNumber + 1}} {
+		_, err := New(invalid[0], invalid[1])
 		must.ErrorContains(t, err, "widen the revision")
 	}
 }
--- a/internal/base/eventlog/eventlog.go
+++ b/internal/base/eventlog/eventlog.go
@@ -1,11 +1,10 @@
-// Package eventlog writes the node's structured log: JSON lines on standard
-// output, one a decision, in one vocabulary of events.
+// Package eventlog writes a node's structured log as JSON lines, one per decision. All events
+// belong to a fixed vocabulary.
 //
-// Writing never blocks a request and its volume is bounded. Lines wait in a ring
-// for one writer; when the ring is full or the budget of lines a second is used
-// up, lines are dropped and counted by event. Budgets are kept by class, so that
-// served requests never displace failures, and failures never displace changes
-// of what the node believes.
+// Writing never blocks, and the volume is bounded. Lines are queued for a single writer. When
+// the queue is full or the limit of lines per second is reached, lines are dropped and counted
+// by event. Each class of events has its own limit, so that served requests never displace
+// failures, and failures never displace changes of the node's state.
 package eventlog
 
 import (
@@ -19,25 +18,25 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// Event is a word of the vocabulary (docs/OPERATIONS.md lists all).
+// Event is the name of an event. docs/OPERATIONS.md lists all of them.
 type Event string
 
-// Class decides which lines are kept when there are too many.
+// Class is the importance of an event. Each class has its own limit of lines per second.
 type Class uint8
 
-// The classes, the most important first.
+// The classes of events, the most important first.
 const (
-	// Belief: a change of what the node believes, a start, a stop, a dependency
-	// that is lost or regained.
+	// Belief: a change of the node's state or of its view of others, such as a start, a stop,
+	// or a dependency that is lost or regained.
 	Belief Class = iota
-	// Failure: a request that failed or was refused.
+	// Failure: a request that failed or was rejected.
 	Failure
-	// Success: a request that was served; only some are logged.
+	// Success: a request that was served. Above the limit only a part is logged.
 	Success
 	classes
 )
 
-// The vocabulary. A line's "event" is one of these.
+// The vocabulary: the values of "event" in log lines.
 const (
 	NodeStarted           Event = "node_started"
 	NodeStopping          Event = "node_stopping"
@@ -98,35 +97,42 @@
 	LinesDropped          Event = "lines_dropped"
 )
 
-// Vocabulary lists all events with their class.
+// Vocabulary maps all events to their classes.
 var Vocabulary = map[Event]Class{
-	NodeStarted: Belief, NodeStopping: Belief, NodeStopped: Belief, SettingsRead: Belief, SettingsRefused: Belief,
-	StoreLost: Belief, StoreRegained: Belief, StoreRestored: Belief, ConfigurationApplied: Belief, ConfigurationRefused: Belief,
-	DirectoryListed: Belief, ServerChanged: Belief, ServerGone: Belief, EntryRefused: Belief, ServerReborn: Belief, ZonesEvacuated: Belief, PrimaryLacksLog: Belief,
-	ServerUnreachable: Belief, ServerReachable: Belief, DetourTaken: Belief, PeerSilent: Belief, MemberRemoved: Belief, OwnerMoved: Belief, TrafficTold: Belief, LinkOpened: Belief, LinkEnded: Belief, PrimaryAnnounced: Belief, PrimaryProved: Belief,
-	PrimaryDenied: Belief, FailoverPhase: Belief, FailoverLease: Belief, FailoverSurvey: Belief, FailoverWitnesses: Belief, FailoverOrder: Belief,
-	TenureChanged: Belief, TenureRound: Belief, VotersChanged: Belief, VotersRefused: Belief, EraNotEnded: Belief, VoterRecovered: Belief, StepDown: Belief, NodeIsolated: Belief, NodeDegraded: Belief,
-	TransferDone: Belief, TransferInterrupted: Belief, MessageLost: Belief, QuotaShare: Belief, QuotaHeldBack: Belief, RoomShort: Belief, RoomRegained: Belief, AnswerUnproved: Failure,
-	SessionRefused: Failure, RequestServed: Success, RequestFailed: Failure, AttemptFailed: Failure, TransactionRolledBack: Failure,
-	LinesDropped: Belief,
+	NodeStarted: Belief, NodeStopping: Belief, NodeStopped: Belief, SettingsRead: Belief,
+	SettingsRefused: Belief, StoreLost: Belief, StoreRegained: Belief, StoreRestored: Belief,
+	ConfigurationApplied: Belief, ConfigurationRefused: Belief, DirectoryListed: Belief,
+	ServerChanged: Belief, ServerGone: Belief, EntryRefused: Belief, ServerReborn: Belief,
+	ZonesEvacuated: Belief, PrimaryLacksLog: Belief, ServerUnreachable: Belief,
+	ServerReachable: Belief, DetourTaken: Belief, PeerSilent: Belief, MemberRemoved: Belief,
+	OwnerMoved: Belief, TrafficTold: Belief, LinkOpened: Belief, LinkEnded: Belief,
+	PrimaryAnnounced: Belief, PrimaryProved: Belief, PrimaryDenied: Belief, FailoverPhase: Belief,
+	FailoverLease: Belief, FailoverSurvey: Belief, FailoverWitnesses: Belief,
+	FailoverOrder: Belief, TenureChanged: Belief, TenureRound: Belief, VotersChanged: Belief,
+	VotersRefused: Belief, EraNotEnded: Belief, VoterRecovered: Belief, StepDown: Belief,
+	NodeIsolated: Belief, NodeDegraded: Belief, TransferDone: Belief, TransferInterrupted: Belief,
+	MessageLost: Belief, QuotaShare: Belief, QuotaHeldBack: Belief, RoomShort: Belief,
+	RoomRegained: Belief, AnswerUnproved: Failure, SessionRefused: Failure,
+	RequestServed: Success, RequestFailed: Failure, AttemptFailed: Failure,
+	TransactionRolledBack: Failure, LinesDropped: Belief,
 }
 
-// shares are the parts of the lines a second that a class may use. They add up
-// to one, so that no class can use up another's.
+// shares are the fractions of the lines per second that each class may use. Their sum is 1,
+// so that no class uses the share of another.
 var shares = [classes]float64{Belief: 0.4, Failure: 0.45, Success: 0.15}
 
-// ringSize is the number of lines that may wait for the writer.
-const ringSize = 1024
+// queueSize is the maximum number of lines that wait for the writer.
+const queueSize = 1024
 
-// Log is a bounded log, safe for concurrent use.
+// Log is an event log of bounded volume. It is safe for concurrent use.
 type Log struct {
 	encoder zapcore.Encoder
 	lines   chan []byte
 	stop    chan struct{}
 	done    chan struct{}
 	name    string
-	// last is the last class that is written.
-	last Class
+	// lastClass is the least important class that is written.
+	lastClass Class
 
 	budgets [classes]budget
 	mutex   sync.Mutex
@@ -135,7 +141,7 @@
 	clock   func() time.Time
 }
 
-// budget counts the lines of the present second.
+// budget limits the lines per second.
 type budget struct {
 	mutex  sync.Mutex
 	second int64
@@ -143,7 +149,8 @@
 	limit  int
 }
 
-func (b *budget) take(now time.Time) bool {
+// allow reports whether another line may be written in the current second, and counts it.
+func (b *budget) allow(now time.Time) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	if second := now.Unix(); second != b.second {
@@ -156,29 +163,29 @@
 	return true
 }
 
-// Level is which classes are written.
+// Level selects the classes that are written.
 type Level string
 
 // The levels.
 const (
-	// Everything writes served requests too.
+	// Everything writes all classes.
 	Everything Level = "everything"
-	// Problems leaves served requests out.
+	// Problems excludes served requests.
 	Problems Level = "problems"
-	// Beliefs writes only what changes what the node believes.
-	Beliefs Level = "beliefs"
+	// StateChanges writes only changes of the node's state, no requests.
+	StateChanges Level = "beliefs"
 )
 
-// highest is the last class that a level writes.
-var highest = map[Level]Class{Everything: Success, Problems: Failure, Beliefs: Belief}
+// lastClasses maps each level to the least important class that it writes.
+var lastClasses = map[Level]Class{Everything: Success, Problems: Failure, StateChanges: Belief}
 
 // Config configures a log.
 type Config struct {
-	// Node is the writer's name, on every line.
+	// Node is the name of the node. Every line has it.
 	Node string
-	// LinesPerSecond bounds the volume.
+	// LinesPerSecond is the maximum number of lines per second.
 	LinesPerSecond int
-	// Level is Everything if it is empty.
+	// Level defaults to Everything.
 	Level Level
 }
 
@@ -189,26 +196,26 @@
 		EncodeDuration: zapcore.MillisDurationEncoder, LineEnding: "\n",
 	}
 	log := &Log{
-		encoder: zapcore.NewJSONEncoder(configuration), lines: make(chan []byte, ringSize),
+		encoder: zapcore.NewJSONEncoder(configuration), lines: make(chan []byte, queueSize),
 		stop: make(chan struct{}), done: make(chan struct{}),
 		name: cfg.Node, dropped: map[Event]int{}, clock: time.Now,
 	}
 	for class := range log.budgets {
 		log.budgets[class].limit = max(1, int(shares[class]*float64(cfg.LinesPerSecond)))
 	}
-	log.last = highest[cmp.Or(cfg.Level, Everything)]
+	log.lastClass = lastClasses[cmp.Or(cfg.Level, Everything)]
 	go log.write(out)
 	return log
 }
 
-// Write logs an event. It never blocks.
+// Write logs an event. It never blocks. Lines above the limits are dropped and counted.
 func (l *Log) Write(event Event, fields ...zap.Field) {
 	class := Vocabulary[event]
-	if class > l.last {
+	if class > l.lastClass {
 		return
 	}
 	now := l.clock()
-	if !l.budgets[class].take(now) {
+	if !l.budgets[class].allow(now) {
 		l.drop(event)
 		return
 	}
@@ -235,7 +242,7 @@
 	}
 }
 
-// asText makes an error its message alone: with its stack a line is ten times as long.
+// asText replaces an error by its message: a stack trace would make the line ten times as long.
 func asText(field *zap.Field) zap.Field {
 	if failed, isError := field.Interface.(error); isError && field.Type == zapcore.ErrorType {
 		return zap.String(field.Key, failed.Error())
@@ -250,11 +257,11 @@
 	l.mutex.Unlock()
 }
 
-// Dropped returns how many lines were dropped since the start.
+// Dropped returns the number of lines dropped since the start.
 func (l *Log) Dropped() int64 { return l.total.Load() }
 
-// Flush reports what was dropped since the last call, in one line. The node
-// calls it at regular times.
+// Flush logs the number of lines dropped since the last call, by event. The node calls it
+// periodically.
 func (l *Log) Flush() {
 	l.mutex.Lock()
 	dropped := l.dropped
@@ -270,19 +277,20 @@
 	l.enqueue(LinesDropped, l.clock(), fields)
 }
 
-// closeLimit bounds the wait for lines that are still to be written.
-const closeLimit = 200 * time.Millisecond
+// closeTimeout bounds the wait for queued lines.
+const closeTimeout = 200 * time.Millisecond
 
-// Close writes what waits, for a short while, and ends the writer. It is called once.
+// Close writes the queued lines, waiting for closeTimeout at most, and stops the writer. It must
+// be called only once.
 func (l *Log) Close() {
 	close(l.stop)
 	select {
 	case <-l.done:
-	case <-time.After(closeLimit):
+	case <-time.After(closeTimeout):
 	}
 }
 
-// write writes waiting lines together, so that a burst costs few system calls.
+// write writes queued lines in batches, so that a burst takes few system calls.
 func (l *Log) write(out io.Writer) {
 	defer close(l.done)
 	for {
@@ -298,7 +306,7 @@
 	}
 }
 
-// gather appends the lines that wait, up to about batchBytes.
+// gather appends the queued lines to a batch, up to about batchBytes.
 func (l *Log) gather(batch []byte) []byte {
 	for len(batch) < batchBytes {
 		select {
@@ -311,5 +319,5 @@
 	return batch
 }
 
-// batchBytes bounds one write, but for its last line.
+// batchBytes is the size from which a batch takes no further line.
 const batchBytes = 256 << 10
--- a/internal/base/eventlog/eventlog_test.go
+++ b/internal/base/eventlog/eventlog_test.go
@@ -16,7 +16,7 @@
 	"go.uber.org/zap"
 )
 
-// lockedBuffer is a writer for concurrent use.
+// lockedBuffer is a buffer that is safe for concurrent use.
 type lockedBuffer struct {
 	mutex  sync.Mutex
 	buffer bytes.Buffer
@@ -34,7 +34,7 @@
 	return strings.Split(strings.TrimSpace(b.buffer.String()), "\n")
 }
 
-func events(t *testing.T, lines []string) map[string]int {
+func countEvents(t *testing.T, lines []string) map[string]int {
 	t.Helper()
 	counted := map[string]int{}
 	for _, line := range lines {
@@ -46,14 +46,14 @@
 	return counted
 }
 
-func frozen() time.Time { return time.Unix(1_000_000, 0) }
+func fixedTime() time.Time { return time.Unix(1_000_000, 0) }
 
-// TestClassesDoNotDisplaceEachOther: a flood of failures leaves room for what
-// the node believes, and every line above a bound is counted.
+// TestClassesDoNotDisplaceEachOther guards against many failures that displace state changes,
+// and against dropped lines that are not counted.
 func TestClassesDoNotDisplaceEachOther(t *testing.T) {
 	out := &lockedBuffer{}
 	log := New(out, Config{Node: "node-1", LinesPerSecond: 100})
-	log.clock = frozen
+	log.clock = fixedTime
 	for i := range 500 {
 		log.Write(RequestFailed, zap.Int("number", i))
 		log.Write(RequestServed)
@@ -63,19 +63,20 @@
 	}
 	log.Flush()
 	log.Close()
-	counted := events(t, out.lines())
+	counted := countEvents(t, out.lines())
 	must.Eq(t, map[string]int{"request_failed": 45, "request_served": 15, "primary_proved": 40, "lines_dropped": 1}, counted)
 	must.Eq(t, int64(500-45+500-15), log.Dropped())
 	must.True(t, strings.Contains(out.lines()[100], `"request_failed":455`))
 }
 
-// TestLevels: each level leaves out the classes below it, uncounted.
+// TestLevels checks that each level excludes the less important classes without counting them
+// as dropped.
 func TestLevels(t *testing.T) {
 	for level, expected := range map[Level]map[string]int{
-		"":         {"node_started": 1, "request_failed": 1, "request_served": 1},
-		Everything: {"node_started": 1, "request_failed": 1, "request_served": 1},
-		Problems:   {"node_started": 1, "request_failed": 1},
-		Beliefs:    {"node_started": 1},
+		"":           {"node_started": 1, "request_failed": 1, "request_served": 1},
+		Everything:   {"node_started": 1, "request_failed": 1, "request_served": 1},
+		Problems:     {"node_started": 1, "request_failed": 1},
+		StateChanges: {"node_started": 1},
 	} {
 		out := &lockedBuffer{}
 		log := New(out, Config{Node: "node-1", LinesPerSecond: 100, Level: level})
@@ -84,13 +85,13 @@
 		log.Write(RequestServed)
 		log.Flush()
 		log.Close()
-		must.Eq(t, expected, events(t, out.lines()), must.Sprint(level))
+		must.Eq(t, expected, countEvents(t, out.lines()), must.Sprint(level))
 		must.Eq(t, int64(0), log.Dropped())
 	}
 }
 
-// TestOutputThatNobodyReadsDoesNotBlock: the writer hangs, requests go on.
-func TestOutputThatNobodyReadsDoesNotBlock(t *testing.T) {
+// TestBlockedOutputDoesNotBlockWrite guards against requests that wait for a blocked output.
+func TestBlockedOutputDoesNotBlockWrite(t *testing.T) {
 	reader, writer := io.Pipe()
 	defer func() { _ = reader.Close() }()
 	log := New(writer, Config{Node: "node-1", LinesPerSecond: 1_000_000})
@@ -104,21 +105,22 @@
 	select {
 	case <-done:
 	case <-time.After(20 * time.Second):
-		t.Fatal("a log that nobody reads held its writers up")
+		t.Fatal("Write blocked on a blocked output")
 	}
 	must.Positive(t, log.Dropped())
 }
 
-// TestVocabulary: events do not change silently; the operators' page lists each.
+// TestVocabulary guards against unintended changes of events, and against events that are
+// missing on the operators' page.
 func TestVocabulary(t *testing.T) {
-	var words []string
+	var entries []string
 	for event, class := range Vocabulary {
-		words = append(words, fmt.Sprintf("%s %d", event, class))
+		entries = append(entries, fmt.Sprintf("%s %d", event, class))
 	}
-	sort.Strings(words)
+	sort.Strings(entries)
 	golden, err := os.ReadFile("testdata/vocabulary.txt")
 	must.NoError(t, err)
-	must.Eq(t, strings.TrimSpace(string(golden)), strings.Join(words, "\n"))
+	must.Eq(t, strings.TrimSpace(string(golden)), strings.Join(entries, "\n"))
 	page, err := os.ReadFile("../../../docs/OPERATIONS.md")
 	must.NoError(t, err)
 	for event := range Vocabulary {
--- a/internal/base/failure/failure.go
+++ b/internal/base/failure/failure.go
@@ -1,9 +1,8 @@
-// Package failure holds the typed errors that dewknot gives to callers.
+// Package failure defines the typed errors that dewknot returns to callers.
 //
-// Every error states its outcome: whether the request surely was not run, or
-// whether its outcome is unknown. Each carries an SQLSTATE, a remedy and, for a
-// refusal, the time after which the caller may come back. The mapping to
-// SQLSTATEs is documented in docs/ERRORS.md.
+// Every error states whether the request was certainly not run or its outcome is unknown. It
+// has an SQLSTATE, a remedy and, for a rejected request, the time after which the caller may
+// retry. docs/ERRORS.md documents the mapping to SQLSTATEs.
 package failure
 
 import (
@@ -16,65 +15,65 @@
 // Kind is the type of a failure.
 type Kind uint8
 
-// The kinds of failure. Their order is part of the internal protocol: new
-// kinds go to the end.
+// The kinds of failure. Their order is part of the protocol between nodes: new kinds must be
+// added at the end.
 const (
 	None Kind = iota
-	// Overloaded: the queue is full or the wait limit would pass.
+	// Overloaded: the queue is full or the request cannot be served within its wait limit.
 	Overloaded
-	// WaitLimit: the request waited as long as its policy allows.
+	// WaitLimit: the request waited for as long as its policy allows.
 	WaitLimit
 	// NoPrimary: the group has no confirmed primary.
 	NoPrimary
 	// NoServer: no server of the group is fit to serve the request.
 	NoServer
-	// RefusedByPolicy: a policy rule refuses this kind of request.
+	// RefusedByPolicy: a policy rule rejects this kind of request.
 	RefusedByPolicy
 	// OutcomeUnknown: the request may or may not have taken effect.
 	OutcomeUnknown
-	// TransactionLost: the transaction was rolled back; nothing of it remains.
+	// TransactionLost: the transaction was rolled back completely.
 	TransactionLost
-	// Unsupported: the statement cannot be carried by a pooled connection.
+	// Unsupported: the statement cannot run on a pooled connection.
 	Unsupported
-	// Protocol: the caller broke the wire protocol.
+	// Protocol: the caller violated the wire protocol.
 	Protocol
 	// Authentication: the caller could not be authenticated.
 	Authentication
-	// Stopping: the node is being stopped as planned.
+	// Stopping: the node is shutting down as planned.
 	Stopping
-	// UnknownService: no service of that name is configured.
+	// UnknownService: no service with that name is configured.
 	UnknownService
-	// NotOwner: the node asked does not own the group.
+	// NotOwner: the node that received the request does not own the group.
 	NotOwner
 	// NotReady: the node has no configuration yet.
 	NotReady
-	// BadParameter: a dewknot.* parameter has a value that cannot be used.
+	// BadParameter: a dewknot.* parameter has an invalid value.
 	BadParameter
-	// Canceled: the caller canceled the request while it was still waiting.
+	// Canceled: the caller canceled the request while it was queued.
 	Canceled
-	// FailedTransaction: the transaction has failed and awaits ROLLBACK.
+	// FailedTransaction: the transaction has failed and only accepts ROLLBACK.
 	FailedTransaction
 	// TooLarge: a message exceeds the size limit.
 	TooLarge
-	// Isolated: the node has lately reached neither another node nor the store.
+	// Isolated: the node has recently reached neither another node nor the store.
 	Isolated
 	// ServerFailed: a server ran the statement, and it failed.
 	ServerFailed
-	// ServerTimedOut: a server ran the statement longer than it allows.
+	// ServerTimedOut: the statement exceeded the server's time limit.
 	ServerTimedOut
-	// UnknownStatement: no statement is prepared under that name.
+	// UnknownStatement: no statement with that name is prepared.
 	UnknownStatement
-	// ReadOnlyTransaction: the transaction was opened for reads only.
+	// ReadOnlyTransaction: the transaction is read-only.
 	ReadOnlyTransaction
-	// InvalidCommand: the command is not known, or not allowed in this state.
+	// InvalidCommand: the command is unknown or not allowed in this state.
 	InvalidCommand
-	// TooManyValues: the session keeps as much as a node allows.
+	// TooManyValues: the session has reached the node's limit of values or statements.
 	TooManyValues
-	// UnknownKey: the caller's key is no tenant's, or was taken away.
+	// UnknownKey: the caller's key belongs to no tenant or was revoked.
 	UnknownKey
-	// OverQuota: the tenant has used up what its quota allows.
+	// OverQuota: the tenant's quota is exhausted.
 	OverQuota
-	// OutsideHomes: no server that may run the work stands where it may go.
+	// OutsideHomes: no server that can run the request is in a region that it may use.
 	OutsideHomes
 )
 
@@ -128,13 +127,13 @@
 	return fmt.Sprintf("kind_%d", uint8(k))
 }
 
-// SQLState returns the five-character code sent to the caller.
+// SQLState returns the five-character SQLSTATE that is sent to the caller.
 func (k Kind) SQLState() string { return descriptions[k].sqlState }
 
-// Fatal reports whether the caller's connection ends with this failure.
+// Fatal reports whether the failure closes the caller's connection.
 func (k Kind) Fatal() bool { return descriptions[k].fatal }
 
-// NotRun reports whether the kind promises that the request was not run.
+// NotRun reports whether the kind guarantees that the request was not run.
 func (k Kind) NotRun() bool {
 	switch k {
 	case None, OutcomeUnknown, ServerFailed, ServerTimedOut:
@@ -144,30 +143,30 @@
 	}
 }
 
-// Error is a failure with its particulars.
+// Error is a failure of a request.
 type Error struct {
 	Kind Kind
-	// Detail names the value or place at fault; it may be empty.
+	// Detail names the invalid value or the place of the failure. It may be empty.
 	Detail string
-	// RetryAfter is the time after which the caller may come back; 0 if not applicable.
+	// RetryAfter is the time after which the caller may retry, 0 if not applicable.
 	RetryAfter time.Duration
 }
 
-// New returns an error of a kind with a detail.
+// New returns an error with a detail.
 func New(kind Kind, detail string) *Error { return &Error{Kind: kind, Detail: detail} }
 
-// Refuse returns an error that tells the caller when to come back.
+// Refuse returns an error with a time after which the caller may retry.
 func Refuse(kind Kind, retryAfter time.Duration) *Error {
 	return &Error{Kind: kind, RetryAfter: retryAfter}
 }
 
-// Message returns the primary message text.
+// Message returns the primary message.
 func (e *Error) Message() string { return descriptions[e.Kind].message }
 
 // Remedy returns what the caller or operator can do.
 func (e *Error) Remedy() string { return descriptions[e.Kind].remedy }
 
-// FullDetail joins the detail with the time to come back, as sent to callers.
+// FullDetail returns the detail with the retry time, as sent to callers.
 func (e *Error) FullDetail() string {
 	if e.RetryAfter <= 0 {
 		return e.Detail
@@ -179,7 +178,7 @@
 	return e.Detail + "; " + retry
 }
 
-// Error implements the error interface; the message names the remedy.
+// Error implements the error interface. The text includes the remedy.
 func (e *Error) Error() string {
 	text := e.Message()
 	if detail := e.FullDetail(); detail != "" {
@@ -188,7 +187,7 @@
 	return text + "; remedy: " + e.Remedy()
 }
 
-// As returns the failure inside err, if there is one.
+// As returns the first *Error in the chain of err, if there is one.
 func As(err error) (*Error, bool) {
 	var found *Error
 	if errors.As(err, &found) {
--- a/internal/base/framing/framing.go
+++ b/internal/base/framing/framing.go
@@ -1,9 +1,7 @@
-// Package framing is the transport that links between nodes share: numbered
-// frames with msgpack bodies over one connection.
+// Package framing sends and receives frames over the connections between nodes.
 //
-// A frame is its length (4 bytes, of what follows), a kind (1 byte), a stream
-// number (8 bytes) and a body. Streams are told apart by the packages that use
-// the transport.
+// A frame consists of the length of the rest (4 bytes), a kind (1 byte), a stream number
+// (8 bytes) and a msgpack body. The packages that use the transport define kinds and streams.
 package framing
 
 import (
@@ -22,8 +20,8 @@
 	lengthBytes = 4
 	// HeaderBytes is the size of a frame without its body.
 	HeaderBytes = lengthBytes + 1 + 8
-	// usualBytes is room for most frames.
-	usualBytes = 512
+	// typicalFrameBytes is the initial capacity of an encoded frame.
+	typicalFrameBytes = 512
 )
 
 // Frame is a received frame whose body is not decoded yet.
@@ -33,9 +31,9 @@
 	Body   []byte
 }
 
-// Encode returns a whole frame.
+// Encode returns an encoded frame.
 func Encode(kind uint8, stream uint64, body any) ([]byte, error) {
-	frame, err := codec.Append(make([]byte, HeaderBytes, usualBytes), body)
+	frame, err := codec.Append(make([]byte, HeaderBytes, typicalFrameBytes), body)
 	if err != nil {
 		return nil, err
 	}
@@ -45,7 +43,7 @@
 	return frame, nil
 }
 
-// Read reads a frame whose body has at most limit bytes.
+// Read reads a frame. It fails if the body is larger than limit bytes.
 func Read(r *bufio.Reader, limit int) (Frame, error) {
 	var header [HeaderBytes]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
@@ -60,22 +58,23 @@
 	return f, errors.Wrap(err, "read frame body")
 }
 
-// Writer puts frames of many goroutines onto a connection. Whoever finds nobody
-// writing writes its own frame and all that arrive meanwhile, so that frames share
-// system calls under load and none waits without. It is safe for concurrent use.
+// Writer writes frames of many goroutines to a connection. A goroutine that finds no write in
+// progress writes its own frame and all frames queued meanwhile. Under load frames share system
+// calls, otherwise they are written at once. Writer is safe for concurrent use.
 type Writer struct {
 	conn    net.Conn
 	mu      sync.Mutex
-	waiting []byte
-	spare   []byte
+	pending []byte
+	spare   []byte // buffer for reuse
 	writing bool
 	failure error
 }
 
-// NewWriter returns a writer onto a connection, which it closes when a write fails.
+// NewWriter returns a writer to a connection. It closes the connection when a write fails.
 func NewWriter(conn net.Conn) *Writer { return &Writer{conn: conn} }
 
-// Send encodes a frame and writes it.
+// Send encodes a frame and writes or queues it. An error of an earlier write is returned to all
+// later callers.
 func (w *Writer) Send(kind uint8, stream uint64, body any) error {
 	encoded, err := Encode(kind, stream, body)
 	if err != nil {
@@ -84,28 +83,27 @@
 	return errors.Wrap(w.write(encoded), "write frame")
 }
 
-// write queues bytes and, if nobody else does, writes until nothing waits. An
-// error of an earlier write is returned to every later caller.
+// write queues a frame and, if no write is in progress, writes until the queue is empty.
 func (w *Writer) write(frame []byte) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.failure != nil {
 		return w.failure
 	}
-	w.waiting = append(w.waiting, frame...)
+	w.pending = append(w.pending, frame...)
 	if w.writing {
 		return nil
 	}
 	w.writing = true
-	for len(w.waiting) > 0 && w.failure == nil {
-		batch := w.waiting
-		w.waiting = w.spare[:0]
+	for len(w.pending) > 0 && w.failure == nil {
+		batch := w.pending
+		w.pending = w.spare[:0]
 		w.mu.Unlock()
 		_, err := w.conn.Write(batch)
 		w.mu.Lock()
 		w.spare = batch[:0]
 		if err != nil {
-			// Those whose frames were queued learn of it when the link ends.
+			// Callers with queued frames notice the failure when the connection closes.
 			w.failure = err
 			_ = w.conn.Close()
 		}
--- a/internal/base/liveness/liveness.go
+++ b/internal/base/liveness/liveness.go
@@ -1,8 +1,8 @@
-// Package liveness makes TCP connections notice a far end that has become silent.
+// Package liveness configures TCP connections to detect an unresponsive peer.
 //
-// A connection may go silent without a reset while new ones work. Calls have limits of
-// their own; what rests on an open connection between calls, such as a transaction on a
-// link between two nodes, ends only if somebody notices.
+// A peer may become unresponsive without a reset, while new connections to it work. Calls have
+// their own timeouts, but state that depends on an idle connection, such as an open transaction
+// on a link between two nodes, is only cleaned up when the connection fails.
 package liveness
 
 import (
@@ -15,42 +15,42 @@
 )
 
 const (
-	// probeIdle is after how long without a segment an idle connection is probed,
-	// probeInterval the pause between probes; after probes without an answer it is dead.
+	// An idle connection is probed after probeIdle, then every probeInterval. It fails after
+	// this number of unanswered probes.
 	probeIdle     = 2 * time.Second
 	probeInterval = time.Second
 	probes        = 2
-	// unackedLimit is how long sent bytes may stay without an acknowledgement: as long as
-	// an idle connection's far end may be silent. Probes are not sent meanwhile.
-	unackedLimit = probeIdle + probes*probeInterval
-	// tcpUserTimeout is the socket option of Linux, in milliseconds; package syscall does
-	// not name it.
+	// unackedTimeout bounds the time until sent bytes are acknowledged. It equals the time to
+	// detect an unresponsive peer by probes, which are not sent while bytes are unacknowledged.
+	unackedTimeout = probeIdle + probes*probeInterval
+	// tcpUserTimeout is the Linux socket option TCP_USER_TIMEOUT, in milliseconds. Package
+	// syscall does not define it.
 	tcpUserTimeout = 0x12
 )
 
-var probing = net.KeepAliveConfig{Enable: true, Idle: probeIdle, Interval: probeInterval, Count: probes}
+var keepAlive = net.KeepAliveConfig{Enable: true, Idle: probeIdle, Interval: probeInterval, Count: probes}
 
-// Dialer returns a dialer of connections that notice silence; limit bounds the opening, 0
-// leaves that to the context.
-func Dialer(limit time.Duration) *net.Dialer {
-	return &net.Dialer{Timeout: limit, KeepAliveConfig: probing, Control: boundUnacked}
+// Dialer returns a dialer for connections that detect an unresponsive peer. With a timeout of 0
+// only the context bounds the dialing.
+func Dialer(timeout time.Duration) *net.Dialer {
+	return &net.Dialer{Timeout: timeout, KeepAliveConfig: keepAlive, Control: setUserTimeout}
 }
 
-// Listen listens for connections that notice silence.
+// Listen listens for connections that detect an unresponsive peer.
 func Listen(ctx context.Context, network, address string) (net.Listener, error) {
-	// Accepted connections take the option over from their listener.
-	config := net.ListenConfig{KeepAliveConfig: probing, Control: boundUnacked}
+	// Accepted connections inherit the socket option from their listener.
+	config := net.ListenConfig{KeepAliveConfig: keepAlive, Control: setUserTimeout}
 	return config.Listen(ctx, network, address)
 }
 
-// boundUnacked sets the limit of unacknowledged bytes on a socket.
-func boundUnacked(_, _ string, raw syscall.RawConn) error {
-	var set error
+// setUserTimeout sets TCP_USER_TIMEOUT on a socket.
+func setUserTimeout(_, _ string, raw syscall.RawConn) error {
+	var setErr error
 	err := raw.Control(func(descriptor uintptr) {
-		set = syscall.SetsockoptInt(int(descriptor), syscall.IPPROTO_TCP, tcpUserTimeout, int(unackedLimit.Milliseconds()))
+		setErr = syscall.SetsockoptInt(int(descriptor), syscall.IPPROTO_TCP, tcpUserTimeout, int(unackedTimeout.Milliseconds()))
 	})
 	if err != nil {
-		return errors.Wrap(err, "reach a socket to bound its unacknowledged bytes")
+		return errors.Wrap(err, "access a socket to set TCP_USER_TIMEOUT")
 	}
-	return errors.Wrap(set, "bound the unacknowledged bytes of a socket")
+	return errors.Wrap(setErr, "set TCP_USER_TIMEOUT on a socket")
 }
--- a/internal/base/liveness/liveness_test.go
+++ b/internal/base/liveness/liveness_test.go
@@ -9,7 +9,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func option(t *testing.T, conn net.Conn, level, name int) int {
+func socketOption(t *testing.T, conn net.Conn, level, name int) int {
 	t.Helper()
 	raw, err := conn.(*net.TCPConn).SyscallConn()
 	must.NoError(t, err)
@@ -21,9 +21,9 @@
 	return value
 }
 
-// TestBothEndsNoticeSilence: the options stand on connections that are dialed and on those
-// that are accepted.
-func TestBothEndsNoticeSilence(t *testing.T) {
+// TestBothEndsDetectUnresponsivePeer checks that dialed and accepted connections have the socket
+// options.
+func TestBothEndsDetectUnresponsivePeer(t *testing.T) {
 	listener, err := Listen(t.Context(), "tcp4", "127.0.0.1:0")
 	must.NoError(t, err)
 	defer func() { _ = listener.Close() }()
@@ -34,10 +34,10 @@
 	must.NoError(t, err)
 	defer func() { _ = accepted.Close() }()
 	for _, conn := range []net.Conn{dialed, accepted} {
-		must.Eq(t, int(unackedLimit.Milliseconds()), option(t, conn, syscall.IPPROTO_TCP, tcpUserTimeout))
-		must.Eq(t, 1, option(t, conn, syscall.SOL_SOCKET, syscall.SO_KEEPALIVE))
-		must.Eq(t, int(probeIdle.Seconds()), option(t, conn, syscall.IPPROTO_TCP, syscall.TCP_KEEPIDLE))
-		must.Eq(t, int(probeInterval.Seconds()), option(t, conn, syscall.IPPROTO_TCP, syscall.TCP_KEEPINTVL))
-		must.Eq(t, probes, option(t, conn, syscall.IPPROTO_TCP, syscall.TCP_KEEPCNT))
+		must.Eq(t, int(unackedTimeout.Milliseconds()), socketOption(t, conn, syscall.IPPROTO_TCP, tcpUserTimeout))
+		must.Eq(t, 1, socketOption(t, conn, syscall.SOL_SOCKET, syscall.SO_KEEPALIVE))
+		must.Eq(t, int(probeIdle.Seconds()), socketOption(t, conn, syscall.IPPROTO_TCP, syscall.TCP_KEEPIDLE))
+		must.Eq(t, int(probeInterval.Seconds()), socketOption(t, conn, syscall.IPPROTO_TCP, syscall.TCP_KEEPINTVL))
+		must.Eq(t, probes, socketOption(t, conn, syscall.IPPROTO_TCP, syscall.TCP_KEEPCNT))
 	}
 }
--- a/internal/base/logging/logging.go
+++ b/internal/base/logging/logging.go
@@ -1,5 +1,5 @@
-// Package logging builds the process's logger. Each part of the program starts
-// its sentences with a fixed prefix, such as "owner: " or "listener: ".
+// Package logging creates the logger of the process. Messages start with the prefix of their
+// component, such as "owner: " or "listener: ".
 package logging
 
 import (
@@ -8,13 +8,13 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// Formats of log lines.
+// Log formats.
 const (
 	Console = "console"
 	JSON    = "json"
 )
 
-// New returns a logger that writes to standard error.
+// New returns a logger that writes to standard error. It fails for an unknown level or format.
 func New(level, format string) (*zap.Logger, error) {
 	parsed, err := zapcore.ParseLevel(level)
 	if err != nil {
--- a/internal/base/placement/bounded.go
+++ b/internal/base/placement/bounded.go
@@ -8,15 +8,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// MostOfShare is how many times its fair share of the keys a candidate is assigned at most,
-// rounded up. The fair share follows the weights. A smaller multiple is more even, but more
-// keys move that neither came from nor go to a candidate that changed.
-const MostOfShare = 1.25
+// MaxShareRatio is the maximum number of keys of a candidate in proportion to its fair share,
+// which follows the weights. A smaller ratio balances better, but a change of one candidate
+// then moves more keys between unchanged candidates.
+const MaxShareRatio = 1.25
 
-// Assign gives each key one of the candidates, so that none has more than MostOfShare of its
-// fair share. The pairs of a key and a candidate are taken in the order of their scores, so
-// the outcome is the same whatever the order of keys and candidates, and a candidate that
-// comes or goes moves little else: only keys for which a bounded candidate had no room.
+// Assign assigns each key to a candidate. No candidate gets more than MaxShareRatio times its
+// fair share, rounded up. Pairs of a key and a candidate are assigned in the order of their
+// scores, so the result does not depend on the order of the arguments. When a candidate is added
+// or removed, the only other keys that move are those for which a candidate was full.
 func Assign(keys []string, candidates []Candidate) map[string]string {
 	type pair struct {
 		key       string
@@ -24,7 +24,7 @@
 		score     float64
 	}
 	resolved := resolveWeights(candidates)
-	room := rooms(len(keys), resolved)
+	capacity := capacities(len(keys), resolved)
 	pairs := make([]pair, 0, len(keys)*len(resolved))
 	for _, key := range keys {
 		keyHash := xxhash.Sum64String(key)
@@ -33,7 +33,7 @@
 		}
 	}
 	slices.SortFunc(pairs, func(a, b pair) int {
-		// Names are compared for equal scores only, of which there are hardly any.
+		// Comparing names only for equal scores, which are rare, saves time.
 		if byScore := cmp.Compare(b.score, a.score); byScore != 0 {
 			return byScore
 		}
@@ -41,43 +41,43 @@
 	})
 	owners := make(map[string]string, len(keys))
 	for _, p := range pairs {
-		if _, assigned := owners[p.key]; !assigned && room[p.candidate] > 0 {
+		if _, assigned := owners[p.key]; !assigned && capacity[p.candidate] > 0 {
 			owners[p.key] = resolved[p.candidate].ID
-			room[p.candidate]--
+			capacity[p.candidate]--
 		}
 	}
 	return owners
 }
 
-// rooms returns how many of some keys each candidate may have. In sum it is all of them at
-// least.
-func rooms(keys int, candidates []Candidate) []int {
+// capacities returns the maximum number of keys of each candidate. The sum is at least keys.
+func capacities(keys int, candidates []Candidate) []int {
 	sum := 0.0
 	for _, candidate := range candidates {
 		sum += candidate.Weight
 	}
-	room := make([]int, len(candidates))
+	capacity := make([]int, len(candidates))
 	for i, candidate := range candidates {
-		room[i] = int(math.Ceil(MostOfShare * float64(keys) * candidate.Weight / sum))
+		capacity[i] = int(math.Ceil(MaxShareRatio * float64(keys) * candidate.Weight / sum))
 	}
-	return room
+	return capacity
 }
 
-// resolveWeights gives candidates that tell no weight the least of those told, 1 if none is.
+// resolveWeights returns the candidates with a weight for all: candidates without one get the
+// smallest weight of the others, 1 if no candidate has one.
 func resolveWeights(candidates []Candidate) []Candidate {
-	least := math.Inf(1)
+	smallest := math.Inf(1)
 	for _, candidate := range candidates {
 		if candidate.Weight > 0 {
-			least = min(least, candidate.Weight)
+			smallest = min(smallest, candidate.Weight)
 		}
 	}
-	if math.IsInf(least, 1) {
-		least = 1
+	if math.IsInf(smallest, 1) {
+		smallest = 1
 	}
 	resolved := slices.Clone(candidates)
 	for i := range resolved {
 		if !(resolved[i].Weight > 0) {
-			resolved[i].Weight = least
+			resolved[i].Weight = smallest
 		}
 	}
 	return resolved
--- a/internal/base/placement/bounded_bench_test.go
+++ b/internal/base/placement/bounded_bench_test.go
@@ -5,9 +5,7 @@
 	"testing"
 )
 
-// BenchmarkAssign assigns the servers of a zone of a large fleet: 300 among 49 nodes. It
-// took 8.0 ms with names compared for each pair, and 3.2 ms with names compared for equal
-// scores only.
+// BenchmarkAssign assigns the servers of a zone of a large fleet to nodes: 300 servers, 49 nodes.
 func BenchmarkAssign(b *testing.B) {
 	keys := make([]string, 300)
 	for i := range keys {
--- a/internal/base/placement/bounded_test.go
+++ b/internal/base/placement/bounded_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// drawMembers draws members of some sizes, a few of which tell none.
+// drawMembers draws members with a few different weights. Some have none.
 func drawMembers(t *rapid.T) []Candidate {
 	members := nodes(rapid.IntRange(2, 40).Draw(t, "nodes"))
 	for i := range members {
@@ -27,7 +27,7 @@
 	return keys
 }
 
-func counts(owners map[string]string) map[string]int {
+func countByOwner(owners map[string]string) map[string]int {
 	owned := map[string]int{}
 	for _, id := range owners {
 		owned[id]++
@@ -35,20 +35,20 @@
 	return owned
 }
 
-// TestNobodyOwnsMuchMoreThanItsShare: every key has an owner, no owner more than its bound,
-// and the order of keys and members does not matter.
-func TestNobodyOwnsMuchMoreThanItsShare(t *testing.T) {
+// TestOwnersStayWithinTheirShare guards against keys without an owner, owners above their
+// maximum, and results that depend on the order of keys or members.
+func TestOwnersStayWithinTheirShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members, keys := drawMembers(t), drawKeys(t)
 		owners := Assign(keys, members)
 		must.Eq(t, len(keys), len(owners))
-		resolved, owned, sum := resolveWeights(members), counts(owners), 0.0
+		resolved, owned, sum := resolveWeights(members), countByOwner(owners), 0.0
 		for _, member := range resolved {
 			sum += member.Weight
 		}
 		for _, member := range resolved {
 			fair := float64(len(keys)) * member.Weight / sum
-			must.LessEq(t, int(math.Ceil(MostOfShare*fair)), owned[member.ID], must.Sprint(member.ID))
+			must.LessEq(t, int(math.Ceil(MaxShareRatio*fair)), owned[member.ID], must.Sprint(member.ID))
 		}
 		slices.Reverse(members)
 		slices.Reverse(keys)
@@ -56,14 +56,15 @@
 	})
 }
 
-// mostBesides is the part of the keys that may move, on average, though neither their old nor
-// their new owner came or went: rooms are rounded, and follow the sum of the weights.
-const mostBesides = 0.05
+// maxOtherMoves is the maximum fraction of the keys that move, on average, between members that
+// did not change. Such moves happen because capacities are rounded and depend on the sum of the
+// weights.
+const maxOtherMoves = 0.05
 
-// TestFewKeysMoveWhenAMemberComesOrGoes counts the keys that move though neither their old
-// nor their new owner is the member that changed.
-func TestFewKeysMoveWhenAMemberComesOrGoes(t *testing.T) {
-	keys, besides := 0, 0
+// TestMembershipChangeMovesFewOtherKeys guards against a change of one member that moves many
+// keys between other members.
+func TestMembershipChangeMovesFewOtherKeys(t *testing.T) {
+	keys, otherMoves := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		members, servers := drawMembers(t), drawKeys(t)
 		lost := rapid.IntRange(0, len(members)-1).Draw(t, "lost")
@@ -72,16 +73,16 @@
 		for _, key := range servers {
 			keys++
 			if with[key] != members[lost].ID && with[key] != without[key] {
-				besides++
+				otherMoves++
 			}
 		}
 	})
-	must.Less(t, mostBesides*float64(keys), float64(besides))
+	must.Less(t, maxOtherMoves*float64(keys), float64(otherMoves))
 }
 
-// TestWeightsDecideWhoOwns: a member four times as heavy owns about four times as many; one
-// that tells no weight owns as many as the lightest.
-func TestWeightsDecideWhoOwns(t *testing.T) {
+// TestOwnershipFollowsWeights checks that the number of owned keys is in proportion to the
+// weight, and that a member without a weight counts as the lightest.
+func TestOwnershipFollowsWeights(t *testing.T) {
 	members := nodes(12)
 	for i := range members {
 		members[i].Weight = 0.2
--- a/internal/base/placement/rendezvous.go
+++ b/internal/base/placement/rendezvous.go
@@ -1,7 +1,8 @@
-// Package placement ranks nodes for groups and roles by weighted rendezvous hashing.
+// Package placement assigns keys, such as groups, servers and roles, to nodes by weighted
+// rendezvous hashing.
 //
-// Every node computes the same ranking from the same members, without messages.
-// Views may differ for a while: the ranking decides efficiency, never safety.
+// Every node computes the same result from the same members, without messages. Nodes may
+// temporarily have different members: placement affects efficiency, never safety.
 package placement
 
 import (
@@ -11,20 +12,20 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Candidate is a node that can be ranked.
+// Candidate is a node to which keys can be assigned.
 type Candidate struct {
 	ID   string
 	Zone string
-	// Weight is in proportion to how often the candidate ranks first. One that has none
-	// weighs as the least of those that do.
+	// Weight is proportional to the number of keys for which the candidate ranks first. A
+	// candidate without a weight gets the smallest weight of the others.
 	Weight float64
 }
 
-// homeZoneWeight makes a node in a key's home zone that many times as likely to
-// rank first as one elsewhere, so that owners tend to be near the primary.
+// homeZoneWeight multiplies the weight of nodes in a key's home zone, so that owners tend to be
+// near the primary.
 const homeZoneWeight = 6
 
-// Rank returns the best candidates for a key, best first, at most count.
+// Rank returns at most count candidates for a key, the best first.
 func Rank(key, homeZone string, candidates []Candidate, count int) []string {
 	type scored struct {
 		id    string
@@ -53,7 +54,7 @@
 	return ids
 }
 
-// score is the weighted rendezvous score -weight/ln(u) with u uniform in (0, 1).
+// score returns the weighted rendezvous score -weight/ln(u), with u uniform in (0, 1).
 func score(keyHash uint64, candidate Candidate, homeZone string) float64 {
 	const mantissaBits = 53
 	mixed := mix(keyHash ^ xxhash.Sum64String(candidate.ID))
@@ -65,7 +66,7 @@
 	return -weight / math.Log(uniform)
 }
 
-// mix is the finalizer of splitmix64; it spreads the bits of a combined hash.
+// mix is the finalizer of splitmix64. It distributes the bits of a combined hash.
 func mix(value uint64) uint64 {
 	value ^= value >> 30
 	value *= 0xbf58476d1ce4e5b9
--- a/internal/base/placement/rendezvous_test.go
+++ b/internal/base/placement/rendezvous_test.go
@@ -18,7 +18,7 @@
 	return list
 }
 
-// Losing a node moves only the keys that it held.
+// TestOnlyKeysOfALostNodeMove guards against a lost node that changes the owners of other keys.
 func TestOnlyKeysOfALostNodeMove(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := nodes(rapid.IntRange(2, 40).Draw(t, "nodes"))
@@ -37,6 +37,7 @@
 	})
 }
 
+// TestLoadIsSpread guards against nodes that own far more keys than the average of two.
 func TestLoadIsSpread(t *testing.T) {
 	members := nodes(410)
 	owned := map[string]int{}
--- a/internal/base/position/position.go
+++ b/internal/base/position/position.go
@@ -1,10 +1,9 @@
-// Package position defines the log position that session consistency is built on.
+// Package position defines the log positions on which session consistency is based.
 //
-// A position names an entry of a database group's replicated log by the term
-// in which the entry was written and its offset in that log. Positions are
-// ordered first by term, then by offset. The order is meaningful for positions
-// that a majority of the group has received: by majority intersection every
-// later primary's log contains them (docs/DESIGN.md, "Positions").
+// A position identifies an entry of a database group's replicated log by the term in which the
+// entry was written and its offset. Positions are ordered by term, then by offset. The order is
+// meaningful for positions that a majority of the group has received: every later primary's log
+// contains them (docs/DESIGN.md, "Positions").
 package position
 
 import (
@@ -15,11 +14,11 @@
 	"github.com/pkg/errors"
 )
 
-// Position is a place in one group's log. The zero value precedes every entry.
+// Position is a position in the log of one group. The zero value precedes every entry.
 type Position struct {
 	// Term is the term of the log entry at Offset.
 	Term uint64 `json:"term" msgpack:"t"`
-	// Offset counts log entries (or bytes, as the group defines) from the start.
+	// Offset counts from the start of the log, in entries or bytes as the group defines.
 	Offset uint64 `json:"offset" msgpack:"o"`
 }
 
@@ -31,8 +30,8 @@
 	return p.Offset < other.Offset
 }
 
-// Covers reports whether a server that has applied p also has applied floor.
-func (p Position) Covers(floor Position) bool { return !p.Less(floor) }
+// Covers reports whether a server that has applied p has also applied minimum.
+func (p Position) Covers(minimum Position) bool { return !p.Less(minimum) }
 
 // IsZero reports whether p is the zero position.
 func (p Position) IsZero() bool { return p == Position{} }
@@ -48,7 +47,7 @@
 // String formats p as "term/offset".
 func (p Position) String() string { return fmt.Sprintf("%d/%d", p.Term, p.Offset) }
 
-// Parse reads the format that String writes.
+// Parse parses the format of Position.String.
 func Parse(text string) (Position, error) {
 	termText, offsetText, found := strings.Cut(text, "/")
 	if !found {
@@ -65,8 +64,8 @@
 	return Position{Term: term, Offset: offset}, nil
 }
 
-// Token is a position together with the group it belongs to. Callers carry it
-// between connections as the parameter dewknot.position.
+// Token is a position with its group. Callers pass it from one connection to another in the
+// parameter dewknot.position.
 type Token struct {
 	Group    string
 	Position Position
@@ -75,7 +74,7 @@
 // String formats the token as "group@term/offset".
 func (t Token) String() string { return t.Group + "@" + t.Position.String() }
 
-// ParseToken reads the format that Token.String writes.
+// ParseToken parses the format of Token.String.
 func ParseToken(text string) (Token, error) {
 	at := strings.LastIndexByte(text, '@')
 	if at <= 0 {
--- a/internal/base/propertytest/plays.go
+++ b/internal/base/propertytest/runs.go
@@ -8,15 +8,15 @@
 	"github.com/shoenig/test/must"
 )
 
-// Plays returns how many plays a run of a randomized test makes: the usual number, or what
-// an environment variable says.
+// Plays returns the number of runs of a randomized test: the value of an environment variable,
+// or the usual number if it is not set.
 func Plays(t *testing.T, variable string, usual uint64) uint64 {
 	t.Helper()
 	text, set := os.LookupEnv(variable)
 	if !set {
 		return usual
 	}
-	plays, err := strconv.ParseUint(text, 10, 32)
+	runs, err := strconv.ParseUint(text, 10, 32)
 	must.NoError(t, err, must.Sprintf("%s = %q; use a whole number", variable, text))
-	return plays
+	return runs
 }
--- a/internal/base/propertytest/seed.go
+++ b/internal/base/propertytest/seed.go
@@ -1,6 +1,5 @@
-// Package propertytest makes property tests give the same verdict on every run:
-// importing it fixes the seed of pgregory.net/rapid. Another seed can still be
-// given with -rapid.seed.
+// Package propertytest makes property tests reproducible: importing it fixes the seed of
+// pgregory.net/rapid. The flag -rapid.seed overrides it.
 package propertytest
 
 import (
@@ -9,7 +8,7 @@
 	_ "pgregory.net/rapid" // registers the flags set below
 )
 
-// Seed is the seed of all property tests.
+// Seed is the default seed of all property tests.
 const Seed = "20261202"
 
 func init() {
--- a/internal/base/settings/proxy.go
+++ b/internal/base/settings/proxy.go
@@ -5,77 +5,78 @@
 	"time"
 )
 
-// Proxy holds the settings of a node that reaches its servers directly
-// (dewknot-proxy).
+// Proxy holds the settings of a node that connects to its servers directly (dewknot-proxy).
 type Proxy struct {
-	// Name names the node; it is unique in the fleet.
+	// Name is the node's name. It must be unique in the fleet.
 	Name string `toml:"name" validate:"required,max=128"`
 	Zone string `toml:"zone" validate:"required,max=64"`
-	// Callers is the address for callers, Readiness that of the readiness probe,
-	// Metrics that of the metrics; an empty Metrics serves none.
+	// Callers, Readiness and Metrics are the listen addresses for callers, for the readiness
+	// probe and for metrics. Metrics are not served if the address is empty.
 	Callers   string `toml:"callers" validate:"required,hostname_port"`
 	Readiness string `toml:"readiness" validate:"required,hostname_port"`
 	Metrics   string `toml:"metrics" validate:"omitempty,hostname_port"`
-	// Peers is the address for other nodes; without it they cannot ask this one.
+	// Peers is the listen address for other nodes. If it is empty they cannot send requests to
+	// this node.
 	Peers string `toml:"peers" validate:"omitempty,hostname_port"`
-	// Advertise is the address at which other nodes reach Peers, if another one,
-	// such as that of a port mapping.
+	// Advertise is the address at which other nodes reach Peers if it differs, for instance
+	// because of a port mapping.
 	Advertise string `toml:"advertise" validate:"omitempty,hostname_port"`
-	// Seeds are addresses of some nodes' Peers, asked by a node that starts while the
-	// store does not answer. They may be out of date, and this node's own.
+	// Seeds are Peers addresses of some nodes, to which a node connects if it starts while the
+	// store is unavailable. They may be outdated and may include the node's own address.
 	Seeds []string `toml:"seeds" validate:"max=64,dive,hostname_port"`
-	// Store is the durable store, Promotions takes orders to promote a server.
+	// Store is the address of the durable store, Promotions that of the service that promotes
+	// servers.
 	Store      string `toml:"store" validate:"required,hostname_port"`
 	Promotions string `toml:"promotions" validate:"omitempty,hostname_port"`
-	// UnfencedPromotions says that the platform does not check the tokens of orders to
-	// promote, and that a replaced primary may go on. The nodes then agree on primaries,
-	// with datagrams to Messages.
+	// UnfencedPromotions means that the platform does not check the fencing tokens of promotions,
+	// and that a replaced primary may continue to run. The nodes then agree on primaries with
+	// datagrams to Messages.
 	UnfencedPromotions bool   `toml:"unfenced_promotions"`
 	Messages           string `toml:"messages" validate:"required_if=UnfencedPromotions true,omitempty,hostname_port"`
-	// QuotaWindow is the span in which a tenant's operations are bounded: in any such span
-	// they are at most its rate times the span and its burst, QuotaOverage of that more,
-	// and QuotaSlack. Zero for no quotas. Messages about them come to Tokens.
+	// QuotaWindow is the duration for which a tenant's operations are limited. In any window of
+	// this duration the limit is (rate * window + burst) * (1 + QuotaOverage) + QuotaSlack. There
+	// are no quotas if it is zero. Tokens is the listen address for messages about quotas.
 	QuotaWindow  Duration `toml:"quota_window"`
 	QuotaOverage float64  `toml:"quota_overage" validate:"min=0,max=10"`
 	QuotaSlack   float64  `toml:"quota_slack" validate:"min=0,max=1000000"`
 	Tokens       string   `toml:"tokens" validate:"omitempty,hostname_port"`
-	// FirstStart says that the whole fleet starts for the first time: no other node had a
-	// share of the quotas before.
+	// FirstStart means that the whole fleet starts for the first time, so that no other node can
+	// have a share of the quotas.
 	FirstStart bool `toml:"first_start"`
-	// StrictRevocation makes a node refuse all work that needs a key while it has not heard
-	// for RevocationBound which keys are in force. Otherwise it goes on with those it knows.
+	// StrictRevocation makes a node reject all requests that need a key after it could not
+	// refresh the valid keys for RevocationBound. Otherwise it uses the last known keys.
 	StrictRevocation bool     `toml:"strict_revocation"`
 	RevocationBound  Duration `toml:"revocation_bound"`
-	// ConfigurationBound is within how long a change has to be in force.
+	// ConfigurationBound is the maximum time until a change of the configuration is in force.
 	ConfigurationBound Duration `toml:"configuration_bound"`
-	// DrainBound is within how long a leaving server must receive no new work.
+	// DrainBound is the maximum time until a leaving server receives no new requests.
 	DrainBound Duration `toml:"drain_bound"`
-	// EvacuationBound is within how long the servers of an evacuated zone must receive nothing.
-	// Zero where zones are not evacuated: evacuations are not followed then.
+	// EvacuationBound is the maximum time until the servers of an evacuated zone receive nothing.
+	// Evacuations are ignored if it is zero.
 	EvacuationBound Duration `toml:"evacuation_bound"`
-	// ColdOverage and ColdSlack are by how much the requests to a cold server may pass its rate
-	// in a second: as a factor, and as a number.
+	// ColdOverage and ColdSlack are the allowed excess of requests per second to a cold server
+	// over its rate: as a factor, and as a number.
 	ColdOverage float64 `toml:"cold_overage" validate:"min=0,max=1000"`
 	ColdSlack   float64 `toml:"cold_slack" validate:"min=0,max=1000000"`
-	// StopGrace is the time from SIGTERM until the process is killed.
+	// StopGrace is the time between SIGTERM and SIGKILL.
 	StopGrace Duration `toml:"stop_grace"`
-	// MemoryLimitMB is the memory that the process may use, in MiB.
+	// MemoryLimitMB is the memory limit of the process in MiB.
 	MemoryLimitMB int `toml:"memory_limit_mb" validate:"min=16,max=1048576"`
-	// Processors is how many processors' time the node may use, LinkMbps what its link
-	// carries in Mbit/s: with the memory, they tell other nodes how much work it can own.
-	// Zero for not known, which counts as the least that others tell.
+	// Processors is the processor limit of the node, LinkMbps the bandwidth of its link in
+	// Mbit/s. Together with the memory they determine how many servers it owns. Zero means
+	// unknown, which counts as the smallest value of the other nodes.
 	Processors float64 `toml:"processors" validate:"min=0,max=4096"`
 	LinkMbps   float64 `toml:"link_mbps" validate:"min=0,max=1000000"`
-	// LogLinesPerSecond bounds the volume of logs.
+	// LogLinesPerSecond is the maximum number of log lines per second.
 	LogLinesPerSecond int `toml:"log_lines_per_second" validate:"min=1,max=1000000"`
-	// LogLevel is which events are written: everything, problems (no served
-	// requests) or beliefs (no requests).
+	// LogLevel selects the events that are logged: everything, problems (no served requests) or
+	// beliefs (no requests, only changes of the node's state).
 	LogLevel string `toml:"log_level" validate:"oneof=everything problems beliefs"`
-	// Regions gives the region of each zone.
+	// Regions maps zones to regions.
 	Regions map[string]string `toml:"regions"`
 }
 
-// ProxyDefaults returns the settings that hold where the file says nothing.
+// ProxyDefaults returns the default settings.
 func ProxyDefaults() Proxy {
 	return Proxy{
 		RevocationBound:    Duration{5 * time.Second},
@@ -84,7 +85,7 @@
 	}
 }
 
-// LoadProxy reads and checks a settings file over the defaults.
+// LoadProxy reads and checks a settings file. Missing keys get their defaults.
 func LoadProxy(path string) (Proxy, error) {
 	loaded := ProxyDefaults()
 	if err := readStrict(path, &loaded); err != nil {
@@ -93,13 +94,13 @@
 	return loaded, loaded.Check()
 }
 
-// Limits on durations, which tags cannot express.
+// Limits of durations, which validation tags cannot express.
 const (
 	minimumBound = 100 * time.Millisecond
 	maximumBound = time.Hour
 )
 
-// Check refuses values that cannot be used, naming each with its remedy.
+// Check returns an error that names all invalid values with a remedy for each.
 func (p *Proxy) Check() error {
 	lines := checkTags(p)
 	bounds := []struct {
@@ -125,5 +126,5 @@
 	if p.QuotaWindow.Duration != 0 && p.Tokens == "" {
 		lines = append(lines, "tokens = \"\": with a quota_window, name the address and port for messages about tokens")
 	}
-	return refused(lines)
+	return invalidSettings(lines)
 }
--- a/internal/base/settings/settings.go
+++ b/internal/base/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads and checks a node's settings: a TOML file, overridden
-// by flags and environment variables.
+// Package settings reads and validates a node's settings from a TOML file. Commands override
+// them with flags and environment variables.
 package settings
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/pkg/errors"
 )
 
-// Duration is a time span written as "250ms" or "2s".
+// Duration is a duration in the format of time.ParseDuration, such as "250ms".
 type Duration struct{ time.Duration }
 
 // UnmarshalText implements encoding.TextUnmarshaler.
@@ -30,11 +30,11 @@
 
 // Node holds the settings of a node.
 type Node struct {
-	// ID names the node; it is unique in the fleet.
+	// ID is the node's name. It must be unique in the fleet.
 	ID   string `toml:"id" validate:"required,max=64"`
 	Zone string `toml:"zone" validate:"required,max=64"`
-	// Listen is for callers, Peer for other nodes (TCP), Gossip for membership
-	// (UDP) and Operator for operators (HTTP).
+	// The listen addresses: Listen for callers, Peer for other nodes (TCP), Gossip for the
+	// membership protocol (UDP) and Operator for operators (HTTP).
 	Listen   string `toml:"listen" validate:"required,hostname_port"`
 	Peer     string `toml:"peer" validate:"required,hostname_port"`
 	Gossip   string `toml:"gossip" validate:"required,hostname_port"`
@@ -43,11 +43,11 @@
 	Seeds []string `toml:"seeds" validate:"dive,hostname_port"`
 	// Store is the base URL of the platform's object API.
 	Store string `toml:"store" validate:"required,http_url"`
-	// FleetKeys prove membership of the fleet; the first is used, all are accepted.
+	// FleetKeys authenticate nodes of the fleet. The node uses the first and accepts all.
 	FleetKeys []string `toml:"fleet_keys" validate:"required,min=1,dive,min=16"`
 	// Authentication is scram or trust.
 	Authentication string `toml:"authentication" validate:"oneof=scram trust"`
-	// ReviewRequired makes policies wait for a second operator's approval.
+	// ReviewRequired means that a second operator must approve policies.
 	ReviewRequired  bool     `toml:"review_required"`
 	DrainLimit      Duration `toml:"drain_limit"`
 	MaxConnections  int      `toml:"max_connections" validate:"min=1,max=1000000"`
@@ -58,7 +58,7 @@
 	LogFormat       string   `toml:"log_format" validate:"oneof=console json"`
 }
 
-// Defaults returns the settings that hold where the file and flags say nothing.
+// Defaults returns the default settings.
 func Defaults() Node {
 	return Node{
 		Authentication: "scram", DrainLimit: Duration{30 * time.Second},
@@ -67,8 +67,8 @@
 	}
 }
 
-// Load reads a settings file over the defaults. Unknown keys and values of the
-// wrong type are refused with their line. An empty path gives the defaults.
+// Load reads a settings file. Missing keys get their defaults; errors for unknown keys and values
+// of the wrong type name the line. Load returns the defaults if the path is empty.
 func Load(path string) (Node, error) {
 	loaded := Defaults()
 	if path == "" {
@@ -77,7 +77,7 @@
 	return loaded, readStrict(path, &loaded)
 }
 
-// readStrict decodes a settings file over what target holds; unknown keys are refused.
+// readStrict decodes a settings file into target. Unknown keys are errors.
 func readStrict(path string, target any) error {
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -86,13 +86,13 @@
 	decoder := toml.NewDecoder(bytes.NewReader(content))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(target); err != nil {
-		return describe(path, err)
+		return describeDecodeError(path, err)
 	}
 	return nil
 }
 
-// describe turns a decoder's error into one line a fault, with file and line.
-func describe(path string, err error) error {
+// describeDecodeError returns an error with a line for each fault, with its file and position.
+func describeDecodeError(path string, err error) error {
 	var strict *toml.StrictMissingError
 	if errors.As(err, &strict) {
 		var lines []string
@@ -110,7 +110,7 @@
 	return errors.Wrapf(err, "settings file %s", path)
 }
 
-// limits on durations, which tags cannot express.
+// Limits of durations, which validation tags cannot express.
 const (
 	minimumDrain = time.Second
 	maximumDrain = time.Hour
@@ -118,7 +118,7 @@
 	maximumPoll  = 10 * time.Second
 )
 
-// Check refuses values that cannot be used, naming each with its remedy.
+// Check returns an error that names all invalid values with a remedy for each.
 func (n *Node) Check() error {
 	lines := checkTags(n)
 	if n.DrainLimit.Duration < minimumDrain || n.DrainLimit.Duration > maximumDrain {
@@ -127,10 +127,10 @@
 	if n.PollInterval.Duration < minimumPoll || n.PollInterval.Duration > maximumPoll {
 		lines = append(lines, fmt.Sprintf("poll_interval = %s: use %s to %s", n.PollInterval, minimumPoll, maximumPoll))
 	}
-	return refused(lines)
+	return invalidSettings(lines)
 }
 
-// checkTags returns a line for each value that its validation tags refuse.
+// checkTags returns a line for each value that fails its validation tags.
 func checkTags(checked any) []string {
 	var lines []string
 	checker := validator.New()
@@ -138,22 +138,22 @@
 	var faults validator.ValidationErrors
 	if err := checker.Struct(checked); errors.As(err, &faults) {
 		for _, fault := range faults {
-			lines = append(lines, fmt.Sprintf("%s = %v: %s", fault.Field(), shown(fault), remedy(fault)))
+			lines = append(lines, fmt.Sprintf("%s = %v: %s", fault.Field(), displayedValue(fault), remedy(fault)))
 		}
 	}
 	return lines
 }
 
-// refused returns an error that holds the lines, nil if there are none.
-func refused(lines []string) error {
+// invalidSettings returns an error with the lines, nil if there are none.
+func invalidSettings(lines []string) error {
 	if len(lines) == 0 {
 		return nil
 	}
-	return errors.New("settings are refused:\n  " + strings.Join(lines, "\n  "))
+	return errors.New("the settings are invalid:\n  " + strings.Join(lines, "\n  "))
 }
 
-// shown hides keys from error messages.
-func shown(fault validator.FieldError) any {
+// displayedValue returns the value for an error message. Keys are hidden.
+func displayedValue(fault validator.FieldError) any {
 	if strings.HasPrefix(fault.Field(), "fleet_keys") {
 		return "(hidden)"
 	}
--- a/internal/base/settings/settings_test.go
+++ b/internal/base/settings/settings_test.go
@@ -19,7 +19,7 @@
 	return loaded.Check()
 }
 
-const good = `
+const validNode = `
 id = "a1"
 zone = "a"
 listen = "127.0.0.1:1"
@@ -31,15 +31,15 @@
 `
 
 func TestSettings(t *testing.T) {
-	must.NoError(t, load(t, good))
+	must.NoError(t, load(t, validNode))
 	cases := map[string]string{
-		good + "colour = 3":                   ":10:1: unknown key \"colour\"",
-		good + "max_connections = \"many\"":   ":10:",
-		good + "max_connections = 0":          "max_connections = \"0\": use at least 1",
-		good + "log_level = \"loud\"":         "use one of: debug info warn error",
-		good + "drain_limit = \"1ms\"":        "drain_limit = 1ms: use 1s to 1h",
-		good + "seeds = [\"nowhere\"]":        "write it as ip:port",
-		"id = \"a1\"\nfleet_keys = [\"abc\"]": "fleet_keys[0] = (hidden): use at least 16",
+		validNode + "colour = 3":                 ":10:1: unknown key \"colour\"",
+		validNode + "max_connections = \"many\"": ":10:",
+		validNode + "max_connections = 0":        "max_connections = \"0\": use at least 1",
+		validNode + "log_level = \"loud\"":       "use one of: debug info warn error",
+		validNode + "drain_limit = \"1ms\"":      "drain_limit = 1ms: use 1s to 1h",
+		validNode + "seeds = [\"nowhere\"]":      "write it as ip:port",
+		"id = \"a1\"\nfleet_keys = [\"abc\"]":    "fleet_keys[0] = (hidden): use at least 16",
 	}
 	for content, want := range cases {
 		err := load(t, content)
--- a/internal/base/stall/stall.go
+++ b/internal/base/stall/stall.go
@@ -1,9 +1,8 @@
-// Package stall bounds an operation by its progress in place of its length: a
-// context that ends once nothing has come for a while. How long a transfer takes
-// depends on its size and on the link; only silence tells that it will not end.
+// Package stall provides a context that is canceled when a transfer makes no progress. A fixed
+// deadline does not suit transfers, because their duration depends on the size and the link.
 //
-// The context carries the limit, so ports need no argument for it. What receives
-// bytes on behalf of the operation says so, through Reader or Received.
+// The timeouts are part of the context, so interfaces need no argument for them. Code that
+// receives bytes for the operation reports them with Reader or Received.
 package stall
 
 import (
@@ -15,39 +14,39 @@
 	"github.com/pkg/errors"
 )
 
-// ErrStalled is the cause of a context that ended for want of progress.
-var ErrStalled = errors.New("nothing has come for too long; ask another source, or again later")
+// ErrStalled is the cause of a context that was canceled because of missing progress.
+var ErrStalled = errors.New("no data received within the timeout; try another source or retry later")
 
-// leastBytes is the least amount that counts as progress after the first byte: a
-// source that sends less within a limit is as good as silent.
-const leastBytes = 512
+// minProgressBytes is the minimum number of bytes within a timeout that count as progress after
+// the first byte.
+const minProgressBytes = 512
 
 type key struct{}
 
-// progress is the state of one limited context.
+// progress is the state of a context with timeouts.
 type progress struct {
-	between time.Duration
-	timer   *time.Timer
+	idleTimeout time.Duration
+	timer       *time.Timer
 
 	mu sync.Mutex
-	// pending counts the bytes that have come since the last extension.
-	pending int
-	first   time.Time
+	// pending is the number of bytes since the timer was last reset.
+	pending     int
+	firstByteAt time.Time
 }
 
-// WithLimit returns a context that ends if the first byte takes longer than first,
-// or later ones longer than between.
-func WithLimit(ctx context.Context, first, between time.Duration) (context.Context, context.CancelFunc) {
+// WithLimit returns a context that is canceled if the first byte takes longer than
+// firstByteTimeout, or later progress longer than idleTimeout.
+func WithLimit(ctx context.Context, firstByteTimeout, idleTimeout time.Duration) (context.Context, context.CancelFunc) {
 	limited, cancel := context.WithCancelCause(ctx)
-	p := &progress{between: between, timer: time.AfterFunc(first, func() { cancel(ErrStalled) })}
+	p := &progress{idleTimeout: idleTimeout, timer: time.AfterFunc(firstByteTimeout, func() { cancel(ErrStalled) })}
 	return context.WithValue(limited, key{}, p), func() {
 		p.timer.Stop()
 		cancel(context.Canceled)
 	}
 }
 
-// Received tells a limited context that bytes have come; zero stands for a sign of
-// the answer's beginning. Other contexts ignore it.
+// Received reports received bytes to a context of WithLimit. Zero reports that the answer has
+// begun. It has no effect on other contexts.
 func Received(ctx context.Context, bytes int) {
 	p, limited := ctx.Value(key{}).(*progress)
 	if !limited {
@@ -56,30 +55,30 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.pending += bytes
-	began := p.first.IsZero()
-	if began {
-		p.first = time.Now()
+	isFirst := p.firstByteAt.IsZero()
+	if isFirst {
+		p.firstByteAt = time.Now()
 	}
-	if began || p.pending >= leastBytes {
+	if isFirst || p.pending >= minProgressBytes {
 		p.pending = 0
-		p.timer.Reset(p.between)
+		p.timer.Reset(p.idleTimeout)
 	}
 }
 
-// Began returns when the first byte came; the present time if none has been noted,
-// as in a context without a limit.
+// Began returns the time of the first byte. It returns the current time if no byte was reported
+// or the context is not one of WithLimit.
 func Began(ctx context.Context) time.Time {
 	if p, limited := ctx.Value(key{}).(*progress); limited {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		if !p.first.IsZero() {
-			return p.first
+		if !p.firstByteAt.IsZero() {
+			return p.firstByteAt
 		}
 	}
 	return time.Now()
 }
 
-// Reader notes what is read from r as progress.
+// Reader returns a reader of r that reports the bytes read to the context.
 func Reader(ctx context.Context, r io.Reader) io.Reader { return &reader{ctx, r} }
 
 type reader struct {
--- a/internal/base/stall/stall_test.go
+++ b/internal/base/stall/stall_test.go
@@ -10,9 +10,9 @@
 	"dewknot/internal/base/bubbletest"
 )
 
-// TestProgressKeepsAnOperation: an operation may take as long as it likes while bytes
-// come, and ends a limit after the last ones.
-func TestProgressKeepsAnOperation(t *testing.T) {
+// TestProgressKeepsContext guards against canceling an operation that makes progress, and against
+// keeping it after progress stopped.
+func TestProgressKeepsContext(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		ctx, cancel := WithLimit(context.Background(), time.Second, 400*time.Millisecond)
 		defer cancel()
@@ -21,7 +21,7 @@
 		began := time.Now()
 		for range 20 {
 			time.Sleep(300 * time.Millisecond)
-			Received(ctx, leastBytes)
+			Received(ctx, minProgressBytes)
 			must.NoError(t, ctx.Err())
 		}
 		must.Eq(t, began, Began(ctx))
@@ -30,9 +30,9 @@
 	})
 }
 
-// TestSilenceEndsAnOperation: neither silence at the beginning nor a trickle counts
-// as progress.
-func TestSilenceEndsAnOperation(t *testing.T) {
+// TestMissingProgressCancelsContext guards against an operation that receives nothing, or too few
+// bytes to count as progress.
+func TestMissingProgressCancelsContext(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		silent, cancel := WithLimit(context.Background(), time.Second, 400*time.Millisecond)
 		defer cancel()
