--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon puts a node together with the platform's adapters and serves
-// until it is told to stop. It knows the adapters, not the platform's names.
+// Package daemon runs a node with the platform's adapters, which it gets from package platform,
+// until the process receives a signal to stop.
 package daemon
 
 import (
@@ -33,7 +33,7 @@
 	"dewknot/platform"
 )
 
-// memoryShare is the part of the memory limit that the Go runtime aims at.
+// memoryShare is the fraction of the memory limit that is set as the Go runtime's soft limit.
 const memoryShare = 0.7
 
 // Run runs a node until SIGTERM or SIGINT.
@@ -43,8 +43,8 @@
 	return Serve(ctx, path, os.Stdout)
 }
 
-// Serve runs a node until ctx ends; the node then stops as planned. Its events
-// go to out.
+// Serve runs a node until ctx is canceled. The node then shuts down gracefully. Its events are
+// written to out.
 func Serve(ctx context.Context, path string, out io.Writer) error {
 	loaded, err := settings.LoadProxy(path)
 	if err != nil {
@@ -66,15 +66,15 @@
 	log.Write(eventlog.NodeStarted, zap.String("zone", loaded.Zone))
 	dialer := &platform.Dialer{Who: loaded.Name}
 	meter := new(traffic.Meter)
-	asker := &relay.Asker{Accounting: accounting(meter)}
-	way := ports(&loaded, dialer, asker)
-	node, err := newNode(&loaded, way, log)
+	peerClient := &relay.Asker{Accounting: accounting(meter)}
+	nodePorts := newPorts(&loaded, dialer, peerClient)
+	node, err := newNode(&loaded, nodePorts, log)
 	if err != nil {
 		return err
 	}
 	dialer.Connect = func(ctx context.Context, address, id string) (net.Conn, error) {
-		if via, detour := node.DetourTo(id); detour {
-			return asker.Tunnel(ctx, via, id)
+		if via, indirect := node.DetourTo(id); indirect {
+			return peerClient.Tunnel(ctx, via, id)
 		}
 		conn, err := platform.ConnectDirectly(ctx, address)
 		if err != nil {
@@ -90,7 +90,7 @@
 		if err != nil {
 			return err
 		}
-		go relay.Serve(peers, node, asker.Accounting)
+		go relay.Serve(peers, node, peerClient.Accounting)
 	}
 	if loaded.Metrics != "" {
 		if err := serveMetrics(loaded.Metrics, node); err != nil {
@@ -101,29 +101,29 @@
 	return node.Run(ctx, callers)
 }
 
-// newNode returns a node with the sockets for the messages between nodes that it needs.
-func newNode(loaded *settings.Proxy, way proxy.Ports, log *eventlog.Log) (*proxy.Node, error) {
-	var agreement *datagrams[quorum.Message]
-	var quotas *datagrams[quota.Message]
+// newNode returns a node and opens the sockets for datagrams between nodes that it needs.
+func newNode(loaded *settings.Proxy, nodePorts proxy.Ports, log *eventlog.Log) (*proxy.Node, error) {
+	var agreementSocket *datagrams[quorum.Message]
+	var quotaSocket *datagrams[quota.Message]
 	var err error
 	if loaded.UnfencedPromotions {
-		if agreement, err = listenDatagrams[quorum.Message]("messages", loaded.Messages, traffic.Agreement, way.Traffic, log); err != nil {
+		if agreementSocket, err = listenDatagrams[quorum.Message]("messages", loaded.Messages, traffic.Agreement, nodePorts.Traffic, log); err != nil {
 			return nil, err
 		}
-		way.Messages = votes{agreement}
+		nodePorts.Messages = agreementSender{agreementSocket}
 	}
 	if loaded.QuotaWindow.Duration > 0 {
-		if quotas, err = listenDatagrams[quota.Message]("tokens", loaded.Tokens, traffic.Tokens, way.Traffic, log); err != nil {
+		if quotaSocket, err = listenDatagrams[quota.Message]("tokens", loaded.Tokens, traffic.Tokens, nodePorts.Traffic, log); err != nil {
 			return nil, err
 		}
-		way.Tokens = tokens{quotas}
+		nodePorts.Tokens = quotaSender{quotaSocket}
 	}
-	node := proxy.New(options(loaded), way, log)
-	if agreement != nil {
-		go agreement.serve(node.ReceiveMessage)
+	node := proxy.New(options(loaded), nodePorts, log)
+	if agreementSocket != nil {
+		go agreementSocket.serve(node.ReceiveMessage)
 	}
-	if quotas != nil {
-		go quotas.serve(node.ReceiveTokens)
+	if quotaSocket != nil {
+		go quotaSocket.serve(node.ReceiveTokens)
 	}
 	return node, nil
 }
@@ -133,8 +133,9 @@
 	return listener, errors.Wrapf(err, "listen on %s; check the settings for an address in use", address)
 }
 
-// listenForPeers listens for other nodes, whose links rest open for long. Callers' sessions
-// rest too, but there are thousands a node, and each would be probed all the time.
+// listenForPeers listens for other nodes, with detection of unresponsive peers because their
+// links may be idle for long. Callers' sessions do without: a node has thousands of them, and
+// each would be probed continuously.
 func listenForPeers(ctx context.Context, address string) (net.Listener, error) {
 	listener, err := liveness.Listen(ctx, "tcp4", address)
 	return listener, errors.Wrapf(err, "listen on %s; check the settings for an address in use", address)
@@ -158,23 +159,23 @@
 	}
 }
 
-func ports(loaded *settings.Proxy, dialer upstream.Dialer, asker *relay.Asker) proxy.Ports {
+func newPorts(loaded *settings.Proxy, dialer upstream.Dialer, peerClient *relay.Asker) proxy.Ports {
 	return proxy.Ports{
-		Store: platform.NewStore(loaded.Store, asker.Meter), Dialer: dialer,
+		Store: platform.NewStore(loaded.Store, peerClient.Meter), Dialer: dialer,
 		Promoter: platform.NewPromoter(loaded.Promotions), Decoder: platform.Decoder{}, Client: platform.NewCaller,
-		Peers: asker, Traffic: asker.Meter, Connect: platform.ConnectDirectly,
+		Peers: peerClient, Traffic: peerClient.Meter, Connect: platform.ConnectDirectly,
 	}
 }
 
-// readinessLimit bounds a probe.
-const readinessLimit = 2 * time.Second
+// headerTimeout bounds the time to read the header of an HTTP request.
+const headerTimeout = 2 * time.Second
 
 func serveReadiness(listener net.Listener, node *proxy.Node) {
-	server := &http.Server{Handler: platform.Readiness(node.Ready), ReadHeaderTimeout: readinessLimit}
+	server := &http.Server{Handler: platform.Readiness(node.Ready), ReadHeaderTimeout: headerTimeout}
 	_ = server.Serve(listener)
 }
 
-// serveMetrics serves the node's metrics on an address of their own.
+// serveMetrics serves the node's metrics at the address.
 func serveMetrics(address string, node *proxy.Node) error {
 	listener, err := listen(address)
 	if err != nil {
@@ -182,13 +183,13 @@
 	}
 	handler := http.NewServeMux()
 	handler.Handle("GET /metrics", promhttp.HandlerFor(node.Metrics(), promhttp.HandlerOpts{}))
-	server := &http.Server{Handler: handler, ReadHeaderTimeout: readinessLimit}
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout}
 	go func() { _ = server.Serve(listener) }()
 	return nil
 }
 
-// reload checks the settings file again on SIGHUP. What a node may change while
-// it runs comes through the store; a changed address needs a restart.
+// reload checks the settings file on SIGHUP without applying it: configuration that can change
+// at runtime comes from the store, and changed settings need a restart.
 func reload(ctx context.Context, path string, log *eventlog.Log) {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
@@ -206,7 +207,7 @@
 	}
 }
 
-// Check reads a settings file and writes what would be in force.
+// Check checks a settings file and writes the effective settings to out.
 func Check(path string, out io.Writer) error {
 	loaded, err := settings.LoadProxy(path)
 	if err != nil {
@@ -214,7 +215,7 @@
 	}
 	content, err := toml.Marshal(loaded)
 	if err != nil {
-		return errors.Wrap(err, "write the settings")
+		return errors.Wrap(err, "encode the settings")
 	}
 	_, err = fmt.Fprintf(out, "%s", content)
 	return err
--- a/internal/daemon/messages.go
+++ b/internal/daemon/messages.go
@@ -17,21 +17,23 @@
 	"dewknot/internal/proxy/traffic"
 )
 
-// maxMessageBytes bounds a datagram. A table of voters or a page of records takes about
-// a kilobyte.
+// maxMessageBytes is the maximum size of a datagram. A voter table or a page of records takes
+// about a kilobyte.
 const maxMessageBytes = 16 << 10
 
-// datagrams carries messages of one type between nodes. What is lost is asked for again.
+// datagrams sends and receives messages of one type between nodes. Messages may be lost; their
+// senders retry.
 type datagrams[M any] struct {
 	conn  *net.UDPConn
 	log   *eventlog.Log
 	kind  traffic.Kind
 	meter *traffic.Meter
-	// failedAt is when a failure was last logged, in Unix seconds: one line a second.
+	// failedAt is the Unix time in seconds of the last logged failure. It limits the log to one
+	// line per second.
 	failedAt atomic.Int64
 }
 
-// listenDatagrams opens the socket for messages at the address of a setting.
+// listenDatagrams opens a socket for messages. Errors name the setting of the address.
 func listenDatagrams[M any](setting, listenAt string, kind traffic.Kind, meter *traffic.Meter, log *eventlog.Log) (*datagrams[M], error) {
 	address, err := netip.ParseAddrPort(listenAt)
 	if err != nil {
@@ -44,38 +46,38 @@
 	return &datagrams[M]{conn: conn, log: log, kind: kind, meter: meter}, nil
 }
 
-// votes sends the messages of the agreement on tenures. It implements tenure.Sender.
-type votes struct{ *datagrams[quorum.Message] }
+// agreementSender sends the messages of the agreement on tenures. It implements tenure.Sender.
+type agreementSender struct{ *datagrams[quorum.Message] }
 
 // SendMessage implements tenure.Sender.
-func (s votes) SendMessage(address string, m *quorum.Message) { s.sendTo(address, m) }
+func (s agreementSender) SendMessage(address string, m *quorum.Message) { s.sendTo(address, m) }
 
-// tokens sends the messages about tenants' tokens. It implements quota.Sender.
-type tokens struct{ *datagrams[quota.Message] }
+// quotaSender sends the messages about tenants' tokens. It implements quota.Sender.
+type quotaSender struct{ *datagrams[quota.Message] }
 
 // SendTokens implements quota.Sender.
-func (s tokens) SendTokens(address string, m *quota.Message) { s.sendTo(address, m) }
+func (s quotaSender) SendTokens(address string, m *quota.Message) { s.sendTo(address, m) }
 
 // sendTo sends a message to the node at an address.
 func (s *datagrams[M]) sendTo(address string, m *M) {
 	to, err := netip.ParseAddrPort(address)
 	if err != nil {
-		s.failed("address", address, err)
+		s.logFailure("address", address, err)
 		return
 	}
 	content, err := codec.Append(nil, m)
 	if err != nil {
-		s.failed("encode", address, err)
+		s.logFailure("encode", address, err)
 		return
 	}
 	if _, err := s.conn.WriteToUDPAddrPort(content, to); err != nil {
-		s.failed("send", address, err)
+		s.logFailure("send", address, err)
 		return
 	}
 	s.meter.Add(s.kind, address, traffic.Sent, len(content))
 }
 
-// serve gives what comes to a function, until the socket is closed.
+// serve passes received messages to receive until the socket is closed.
 func (s *datagrams[M]) serve(receive func(from string, m *M)) {
 	buffer := make([]byte, maxMessageBytes)
 	for {
@@ -84,25 +86,25 @@
 			return
 		}
 		if err != nil {
-			s.failed("receive", from.String(), err)
-			time.Sleep(receivePause)
+			s.logFailure("receive", from.String(), err)
+			time.Sleep(receiveRetryDelay)
 			continue
 		}
 		s.meter.Add(s.kind, from.String(), traffic.Received, size)
 		m := new(M)
 		if err := codec.Decode(buffer[:size], m); err != nil {
-			s.failed("decode", from.String(), err)
+			s.logFailure("decode", from.String(), err)
 			continue
 		}
 		receive(from.String(), m)
 	}
 }
 
-// receivePause is the pause after a failure to receive.
-const receivePause = 20 * time.Millisecond
+// receiveRetryDelay is the delay after a failure to receive.
+const receiveRetryDelay = 20 * time.Millisecond
 
-// failed logs a failure. The message is lost, as datagrams may be.
-func (s *datagrams[M]) failed(step, address string, err error) {
+// logFailure logs a lost message, once per second at most.
+func (s *datagrams[M]) logFailure(step, address string, err error) {
 	now := time.Now().Unix()
 	if s.failedAt.Swap(now) != now {
 		s.log.Write(eventlog.MessageLost, zap.String("step", step), zap.String("address", address), zap.Error(err))
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -6,7 +6,8 @@
 	"dewknot/platform"
 )
 
-// accounting tells what the bytes of questions between nodes are for.
+// accounting returns the meter for requests between nodes, with the kind of traffic of each
+// kind of object.
 func accounting(meter *traffic.Meter) relay.Accounting {
 	return relay.Accounting{Meter: meter, Kinds: map[string]traffic.Kind{
 		platform.Kinds.Members: traffic.Members, platform.Kinds.Configuration: traffic.Configuration,
