--- a/cmd/dewknot-proxy/main.go
+++ b/cmd/dewknot-proxy/main.go
@@ -1,5 +1,5 @@
-// Command dewknot-proxy is a node of dewknot on its users' platform: it serves
-// callers, reaches the database servers directly and keeps nothing on disk.
+// Command dewknot-proxy runs a node of dewknot on its users' platform. A node serves callers,
+// connects to the database servers directly and stores nothing on disk.
 package main
 
 import (
@@ -11,26 +11,23 @@
 	"dewknot/internal/daemon"
 )
 
-// commands are the program's commands.
 type commands struct {
 	Run   runCommand   `cmd:"" help:"Run a node until it is told to stop."`
 	Check checkCommand `cmd:"" help:"Check a settings file and show what is in force."`
 }
 
-// runCommand runs the node.
 type runCommand struct {
 	Settings string `required:"" env:"DEWKNOT_SETTINGS" help:"Settings file (TOML)."`
 }
 
-// Run runs the node.
+// Run runs a node until the process receives SIGTERM or SIGINT.
 func (c *runCommand) Run() error { return daemon.Run(c.Settings) }
 
-// checkCommand checks a settings file.
 type checkCommand struct {
 	File string `arg:"" help:"Settings file (TOML)."`
 }
 
-// Run checks the file.
+// Run checks the file and prints the effective settings.
 func (c *checkCommand) Run() error { return daemon.Check(c.File, os.Stdout) }
 
 func main() {
--- a/cmd/dewknot/main.go
+++ b/cmd/dewknot/main.go
@@ -1,5 +1,5 @@
-// Command dewknot is a database proxy with session consistency, together with
-// its tools and stand-ins.
+// Command dewknot runs the database proxy for PostgreSQL, its tools, and stand-ins for databases
+// and the platform.
 package main
 
 import (
