--- a/internal/architecture/layers_test.go
+++ b/internal/architecture/layers_test.go
@@ -1,4 +1,4 @@
-// Package architecture checks which packages import which. It has no code of its own.
+// Package architecture tests which packages import which others, and the size of packages.
 package architecture
 
 import (
@@ -21,14 +21,15 @@
 	root   = "../.."
 )
 
-// floor is a group of packages; each may import those of the floors named.
-type floor struct {
-	name string
-	may  []string
+// layer is a folder of packages. They may import each other and packages of the layers named in
+// mayImport.
+type layer struct {
+	name      string
+	mayImport []string
 }
 
-// floors are described in docs/DESIGN.md.
-var floors = []floor{
+// layers are described in docs/DESIGN.md.
+var layers = []layer{
 	{"internal/base", nil},
 	{"internal/proxy", []string{"internal/base"}},
 	{"internal/postgres", []string{"internal/base"}},
@@ -42,16 +43,18 @@
 	{"internal/architecture", nil},
 }
 
-// imports are the project's own imports of each package, tests aside.
+// imports maps each package to the packages of this module that it imports, without tests.
 type imports map[string][]string
 
-// mostFiles bounds the files of code in a package: with more, it has more than one matter.
-const mostFiles = 15
+// maxFiles is the maximum number of source files of a package, without tests. A larger package
+// should be split.
+const maxFiles = 15
 
-// innerLayers are the packages of the node's way, each of which imports only those before
-// it: what is known of others, services and their servers, callers' sessions.
-var innerLayers = []string{"internal/proxy/network", "internal/proxy/backends", "internal/proxy"}
+// nodeLayers are the main packages of a node. Each may import only those before it: the view of
+// other nodes, services with their servers, callers' sessions.
+var nodeLayers = []string{"internal/proxy/network", "internal/proxy/backends", "internal/proxy"}
 
+// readImports returns the imports of all packages of the module.
 func readImports(t *testing.T) imports {
 	t.Helper()
 	found := imports{}
@@ -93,35 +96,36 @@
 	return found
 }
 
-func floorOf(name string) *floor {
-	for i := range floors {
-		if name == floors[i].name || strings.HasPrefix(name, floors[i].name+"/") {
-			return &floors[i]
+// layerOf returns the layer of a package, nil if it belongs to none.
+func layerOf(name string) *layer {
+	for i := range layers {
+		if name == layers[i].name || strings.HasPrefix(name, layers[i].name+"/") {
+			return &layers[i]
 		}
 	}
 	return nil
 }
 
-// breaches returns what the imports break.
-func breaches(found imports) []string {
-	var broken []string
+// violations returns the packages without a layer and the imports that layers do not allow.
+func violations(found imports) []string {
+	var violating []string
 	for _, importer := range slices.Sorted(maps.Keys(found)) {
-		from := floorOf(importer)
+		from := layerOf(importer)
 		if from == nil {
-			broken = append(broken, importer+" stands on no floor")
+			violating = append(violating, importer+" belongs to no layer")
 			continue
 		}
 		for _, imported := range found[importer] {
-			to := floorOf(imported)
-			if to == nil || (to != from && !slices.Contains(from.may, to.name)) {
-				broken = append(broken, importer+" imports "+imported)
+			to := layerOf(imported)
+			if to == nil || (to != from && !slices.Contains(from.mayImport, to.name)) {
+				violating = append(violating, importer+" imports "+imported)
 			}
 		}
 	}
-	return broken
+	return violating
 }
 
-// reachable returns all packages that a package links.
+// reachable returns the packages that a package imports directly or indirectly, and itself.
 func reachable(found imports, from string) map[string]bool {
 	seen := map[string]bool{}
 	var visit func(string)
@@ -138,19 +142,19 @@
 	return seen
 }
 
-// TestFloorsImportDownwards: no floor imports one that it may not, and the platform's
-// node links nothing of the PostgreSQL edge or of the experiments.
-func TestFloorsImportDownwards(t *testing.T) {
+// TestLayersImportDownwards guards against imports that a layer does not allow, and against
+// dewknot-proxy linking packages for PostgreSQL or experiments.
+func TestLayersImportDownwards(t *testing.T) {
 	found := readImports(t)
 	must.Greater(t, 50, len(found))
-	must.SliceEmpty(t, breaches(found))
+	must.SliceEmpty(t, violations(found))
 	for name := range reachable(found, "cmd/dewknot-proxy") {
 		must.False(t, strings.HasPrefix(name, "internal/postgres/") || strings.HasPrefix(name, "internal/lab/"), must.Sprint(name))
 	}
 }
 
-// TestWrongImportsAreNoticed adds imports that are not allowed.
-func TestWrongImportsAreNoticed(t *testing.T) {
+// TestForbiddenImportsAreDetected checks that each added import that is not allowed is found.
+func TestForbiddenImportsAreDetected(t *testing.T) {
 	for _, wrong := range []struct{ importer, imported string }{
 		{"internal/base/codec", "internal/proxy/relay"},
 		{"internal/proxy/relay", "internal/postgres/peer"},
@@ -162,36 +166,37 @@
 	} {
 		found := readImports(t)
 		found[wrong.importer] = append(found[wrong.importer], wrong.imported)
-		must.SliceNotEmpty(t, breaches(found), must.Sprint(path.Join(wrong.importer, "->", wrong.imported)))
+		must.SliceNotEmpty(t, violations(found), must.Sprint(path.Join(wrong.importer, "->", wrong.imported)))
 	}
 }
 
-// layerBreaches returns the imports of an inner layer by one before it.
-func layerBreaches(found imports) []string {
-	var broken []string
-	for i, layer := range innerLayers {
-		for _, later := range innerLayers[i+1:] {
-			if slices.Contains(found[layer], later) {
-				broken = append(broken, layer+" imports "+later)
+// nodeLayerViolations returns the imports of a node layer by one before it.
+func nodeLayerViolations(found imports) []string {
+	var violating []string
+	for i, importer := range nodeLayers {
+		for _, later := range nodeLayers[i+1:] {
+			if slices.Contains(found[importer], later) {
+				violating = append(violating, importer+" imports "+later)
 			}
 		}
 	}
-	return broken
+	return violating
 }
 
-// TestInnerLayersImportDownwards, and an import upwards is noticed.
-func TestInnerLayersImportDownwards(t *testing.T) {
+// TestNodeLayersImportDownwards guards against imports of a node layer by one before it, and
+// checks that an added import of this kind is found.
+func TestNodeLayersImportDownwards(t *testing.T) {
 	found := readImports(t)
-	must.SliceEmpty(t, layerBreaches(found))
-	for i, layer := range innerLayers[:len(innerLayers)-1] {
-		must.MapContainsKey(t, found, layer)
+	must.SliceEmpty(t, nodeLayerViolations(found))
+	for i, importer := range nodeLayers[:len(nodeLayers)-1] {
+		must.MapContainsKey(t, found, importer)
 		wrong := maps.Clone(found)
-		wrong[layer] = append(slices.Clone(found[layer]), innerLayers[i+1])
-		must.SliceNotEmpty(t, layerBreaches(wrong), must.Sprint(layer))
+		wrong[importer] = append(slices.Clone(found[importer]), nodeLayers[i+1])
+		must.SliceNotEmpty(t, nodeLayerViolations(wrong), must.Sprint(importer))
 	}
 }
 
-// countFiles counts the files of code, tests aside, by package.
+// countFiles returns the number of source files of each package, without tests.
 func countFiles(t *testing.T) map[string]int {
 	t.Helper()
 	count := map[string]int{}
@@ -207,22 +212,23 @@
 	return count
 }
 
-// large returns the packages that have too many files.
-func large(count map[string]int) []string {
+// tooLarge returns the packages with more than maxFiles files.
+func tooLarge(count map[string]int) []string {
 	var found []string
 	for name, files := range count {
-		if files > mostFiles {
+		if files > maxFiles {
 			found = append(found, name)
 		}
 	}
 	return found
 }
 
-// TestPackagesAreSmall, and one file more than allowed is noticed.
+// TestPackagesAreSmall guards against packages with too many files, and checks that one with a
+// file more than allowed is found.
 func TestPackagesAreSmall(t *testing.T) {
 	count := countFiles(t)
 	must.Greater(t, 50, len(count))
-	must.SliceEmpty(t, large(count))
-	count["internal/other"] = mostFiles + 1
-	must.Eq(t, []string{"internal/other"}, large(count))
+	must.SliceEmpty(t, tooLarge(count))
+	count["internal/other"] = maxFiles + 1
+	must.Eq(t, []string{"internal/other"}, tooLarge(count))
 }
