--- a/internal/cli/capacity.go
+++ b/internal/cli/capacity.go
@@ -15,10 +15,10 @@
 type planCommand struct {
 	Size   string `arg:"" type:"existingfile" help:"Size file, such as examples/target.toml."`
 	Slopes string `arg:"" type:"existingfile" help:"Slopes file, as written by dewknot measure."`
-	Lines  bool   `help:"Print the slopes as well."`
+	Lines  bool   `help:"Also print the slopes."`
 }
 
-// Run prints what each role of a node needs at the size.
+// Run prints the resources that each role of a node needs at the given size.
 func (c *planCommand) Run(env *environment) error {
 	size, err := capacity.LoadSize(c.Size)
 	if err != nil {
@@ -37,13 +37,13 @@
 }
 
 type measureCommand struct {
-	Out     string `default:"slopes.toml" type:"path" help:"Slopes file to write or renew."`
+	Out     string `default:"slopes.toml" type:"path" help:"Slopes file to write or update."`
 	Only    string `default:"all" enum:"all,path,callers,status,backend,groups" help:"Part to measure."`
-	Callers []int  `default:"1000,2000,4000,6830" help:"Numbers of idle callers."`
+	Callers []int  `default:"1000,2000,4000,6830" help:"Numbers of idle callers to measure."`
 }
 
-// Run measures the slopes and writes them; what is not measured now is kept from
-// an existing file.
+// Run measures the slopes and writes them to a file. If only a part is measured, the other
+// slopes of an existing file are kept.
 func (c *measureCommand) Run(env *environment) error {
 	progress := func(format string, values ...any) { env.printf(format+"\n", values...) }
 	measured, err := c.measure(env, progress)
@@ -53,11 +53,11 @@
 	slopes := capacity.Slopes{Machine: fmt.Sprintf("%d cores, %s, %s/%s, loopback", runtime.NumCPU(), runtime.Version(), runtime.GOOS, runtime.GOARCH)}
 	if _, err := os.Stat(c.Out); err == nil && c.Only != "all" {
 		if slopes, err = capacity.LoadSlopes(c.Out); err != nil {
-			return errors.Wrap(err, "renew slopes; measure all first")
+			return errors.Wrap(err, "update slopes; measure all first")
 		}
 	}
 	for _, slope := range measured {
-		slopes.Slope = slices.DeleteFunc(slopes.Slope, func(known capacity.Slope) bool { return known.Name == slope.Name })
+		slopes.Slope = slices.DeleteFunc(slopes.Slope, func(existing capacity.Slope) bool { return existing.Name == slope.Name })
 		slopes.Slope = append(slopes.Slope, slope)
 		if !slope.Linear() {
 			env.printf("not linear: %s, worst error %.0f%%\n", slope.Name, 100*slope.WorstError)
@@ -69,15 +69,16 @@
 	return slopes.Save(c.Out)
 }
 
+// measure measures the selected parts.
 func (c *measureCommand) measure(env *environment, progress func(string, ...any)) ([]capacity.Slope, error) {
-	one := func(slope capacity.Slope, err error) ([]capacity.Slope, error) { return []capacity.Slope{slope}, err }
+	single := func(slope capacity.Slope, err error) ([]capacity.Slope, error) { return []capacity.Slope{slope}, err }
 	parts := []struct {
 		name string
 		run  func() ([]capacity.Slope, error)
 	}{
-		{"groups", func() ([]capacity.Slope, error) { return one(benchmark.GroupMachines(progress)) }},
-		{"backend", func() ([]capacity.Slope, error) { return one(benchmark.BackendConnections(env.ctx, progress)) }},
-		{"callers", func() ([]capacity.Slope, error) { return one(benchmark.IdleCallers(env.ctx, c.Callers, progress)) }},
+		{"groups", func() ([]capacity.Slope, error) { return single(benchmark.GroupMachines(progress)) }},
+		{"backend", func() ([]capacity.Slope, error) { return single(benchmark.BackendConnections(env.ctx, progress)) }},
+		{"callers", func() ([]capacity.Slope, error) { return single(benchmark.IdleCallers(env.ctx, c.Callers, progress)) }},
 		{"status", func() ([]capacity.Slope, error) { return benchmark.StatusQuestions(progress) }},
 		{"path", func() ([]capacity.Slope, error) { return benchmark.Statements(env.ctx, progress) }},
 	}
@@ -96,12 +97,12 @@
 }
 
 type compareCommand struct {
-	Callers    int `default:"8" help:"Callers at a time."`
-	Statements int `default:"2000" help:"Statements a caller and round."`
-	Rounds     int `default:"3" help:"Rounds; every way is driven in each."`
+	Callers    int `default:"8" help:"Number of concurrent callers."`
+	Statements int `default:"2000" help:"Statements per caller and round."`
+	Rounds     int `default:"3" help:"Number of rounds; each measures every path."`
 }
 
-// Run compares the direct way to a server with the ways through nodes.
+// Run compares the direct connection to a server with the paths through nodes.
 func (c *compareCommand) Run(env *environment) error {
 	paths, closeAll, err := benchmark.Paths(env.ctx)
 	if err != nil {
@@ -113,7 +114,7 @@
 		if err != nil {
 			return err
 		}
-		env.printf("%d callers\n%-10s %12s %10s %10s %12s %14s\n", callers, "way", "statements/s", "p50", "p99", "added p50", "CPU each")
+		env.printf("%d callers\n%-10s %12s %10s %10s %12s %14s\n", callers, "path", "statements/s", "p50", "p99", "added p50", "CPU each")
 		for _, sample := range samples {
 			env.printf("%-10s %12.0f %10s %10s %12s %14s\n", sample.Path, sample.Rate(), sample.P50, sample.P99, sample.P50-samples[0].P50, sample.CPUPerStatement())
 		}
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,4 +1,4 @@
-// Package cli is dewknot's command line.
+// Package cli implements the commands of dewknot.
 package cli
 
 import (
@@ -16,13 +16,13 @@
 
 // Exit codes.
 const (
-	// ExitOK: the command did what was asked.
+	// ExitOK: the command succeeded.
 	ExitOK = 0
 	// ExitFailure: the command failed; the message names the remedy.
 	ExitFailure = 1
-	// ExitViolation: a checker found a promise broken.
+	// ExitViolation: a check found that a promise was violated.
 	ExitViolation = 2
-	// ExitUsage: the command line cannot be used.
+	// ExitUsage: the command line is invalid.
 	ExitUsage = 64
 )
 
@@ -32,7 +32,7 @@
 // Error implements the error interface.
 func (e *violationError) Error() string { return e.message }
 
-// environment is what commands need of their surroundings.
+// environment holds the context and the output of a command.
 type environment struct {
 	ctx context.Context
 	out io.Writer
@@ -50,29 +50,29 @@
 	Group      groupCommand      `cmd:"" help:"Configure database groups."`
 	User       userCommand       `cmd:"" help:"Configure callers' credentials."`
 	Status     statusCommand     `cmd:"" help:"Show the state of the fleet."`
-	Demo       demoCommand       `cmd:"" help:"Run both example deployments under failures and judge what callers saw."`
-	Load       loadCommand       `cmd:"" help:"Drive nodes with a workload and judge what callers saw."`
+	Demo       demoCommand       `cmd:"" help:"Run both example deployments under failures and check what callers saw."`
+	Load       loadCommand       `cmd:"" help:"Run a workload against nodes and check what callers saw."`
 	Sim        simCommand        `cmd:"" help:"Simulate fleets under random faults and check every promise."`
 	Replay     replayCommand     `cmd:"" help:"Replay recorded traces."`
-	Check      checkCommand      `cmd:"" help:"Judge recorded histories."`
+	Check      checkCommand      `cmd:"" help:"Check recorded histories."`
 	Experiment experimentCommand `cmd:"" help:"Compare designs in the simulator."`
-	Plan       planCommand       `cmd:"" help:"Work out what each role needs at a size, from measured slopes."`
-	Measure    measureCommand    `cmd:"" help:"Measure the slopes that plan needs."`
-	Compare    compareCommand    `cmd:"" help:"Compare the ways through nodes with a direct connection."`
-	Explain    explainCommand    `cmd:"" help:"Tell the story of a request, server or failover from event logs."`
-	Timeline   timelineCommand   `cmd:"" help:"Draw how requests ended over time, with takeovers and outages, from event logs."`
-	Rounds     roundsCommand     `cmd:"" help:"Show measured rounds of the journal."`
-	Version    versionCommand    `cmd:"" help:"Show version and build."`
+	Plan       planCommand       `cmd:"" help:"Compute the resources that each role needs at a size, from measured slopes."`
+	Measure    measureCommand    `cmd:"" help:"Measure the slopes for the plan command."`
+	Compare    compareCommand    `cmd:"" help:"Compare the paths through nodes with a direct connection."`
+	Explain    explainCommand    `cmd:"" help:"Explain a request, server, failover or tenant from event logs."`
+	Timeline   timelineCommand   `cmd:"" help:"Plot the outcomes of requests over time, with takeovers and outages, from event logs."`
+	Rounds     roundsCommand     `cmd:"" help:"Show the measured rounds in journal entries."`
+	Version    versionCommand    `cmd:"" help:"Show the version and build information."`
 }
 
 const description = `A database proxy with session consistency.
 
-Nodes stand between callers and PostgreSQL-speaking database groups. Operators'
-policies say how fresh an answer must be, what may wait and what is refused.
+Nodes proxy requests of callers to groups of PostgreSQL databases. Operators'
+policies define how fresh answers must be, and which requests wait or are rejected.
 
-Exit codes: 0 done, 1 failed, 2 a promise was found broken, 64 wrong usage.`
+Exit codes: 0 success, 1 failure, 2 a promise was violated, 64 invalid usage.`
 
-// Run parses the arguments, runs the command and returns the exit code.
+// Run parses the arguments, runs the command and returns its exit code.
 func Run(arguments []string, out, errOut io.Writer) int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -109,23 +109,23 @@
 
 type versionCommand struct{}
 
-// Run prints what the binary was built from.
+// Run prints the version, revision and Go version of the binary.
 func (versionCommand) Run(env *environment) error {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
-		return errors.New("the binary holds no build information; build it with 'go build'")
+		return errors.New("the binary has no build information; build it with 'go build'")
 	}
-	revision, changed := "unknown", ""
+	revision, modified := "unknown", ""
 	for _, setting := range info.Settings {
 		switch setting.Key {
 		case "vcs.revision":
 			revision = setting.Value
 		case "vcs.modified":
 			if setting.Value == "true" {
-				changed = ", with changes"
+				modified = ", modified"
 			}
 		}
 	}
-	env.printf("dewknot %s, revision %s%s, %s\n", info.Main.Version, revision, changed, info.GoVersion)
+	env.printf("dewknot %s, revision %s%s, %s\n", info.Main.Version, revision, modified, info.GoVersion)
 	return nil
 }
--- a/internal/cli/daemons.go
+++ b/internal/cli/daemons.go
@@ -29,20 +29,21 @@
 	Operator       string        `help:"Address for operators (HTTP)."`
 	Seeds          []string      `help:"Gossip addresses of other nodes."`
 	Store          string        `help:"Base URL of the platform's object API."`
-	FleetKeys      []string      `help:"Keys that prove membership of the fleet."`
+	FleetKeys      []string      `help:"Keys that authenticate nodes of the fleet."`
 	Authentication string        `help:"How callers authenticate: scram or trust."`
-	ReviewRequired bool          `help:"Policies wait for a second operator's approval."`
-	DrainLimit     time.Duration `help:"How long a planned stop lets transactions go on."`
-	LogLevel       string        `help:"debug, info, warn or error."`
-	LogFormat      string        `help:"console or json."`
+	ReviewRequired bool          `help:"Require a second operator's approval of policies."`
+	DrainLimit     time.Duration `help:"Maximum duration of open transactions after a planned stop begins."`
+	LogLevel       string        `help:"Log level: debug, info, warn or error."`
+	LogFormat      string        `help:"Log format: console or json."`
 }
 
+// load returns the checked settings: the file with the flags applied.
 func (c *nodeCommand) load() (settings.Node, error) {
 	loaded, err := settings.Load(c.Settings)
 	if err != nil {
 		return loaded, err
 	}
-	texts := []struct {
+	overrides := []struct {
 		flag   string
 		target *string
 	}{
@@ -57,9 +58,9 @@
 		{c.LogLevel, &loaded.LogLevel},
 		{c.LogFormat, &loaded.LogFormat},
 	}
-	for _, text := range texts {
-		if text.flag != "" {
-			*text.target = text.flag
+	for _, override := range overrides {
+		if override.flag != "" {
+			*override.target = override.flag
 		}
 	}
 	if len(c.Seeds) > 0 {
@@ -75,7 +76,7 @@
 	return loaded, loaded.Check()
 }
 
-// Run runs the node until it is told to stop; then it drains.
+// Run runs the node until the command is canceled, then drains it.
 func (c *nodeCommand) Run(env *environment) error {
 	loaded, err := c.load()
 	if err != nil {
@@ -104,23 +105,23 @@
 type standinCommand struct {
 	Database   databaseCommand   `cmd:"" help:"Run a stand-in database group."`
 	Platform   platformCommand   `cmd:"" help:"Run a stand-in object API and machine list."`
-	Fault      faultCommand      `cmd:"" help:"Cause a fault on a stand-in database server."`
-	StoreFault storeFaultCommand `cmd:"" help:"Cause a fault on the stand-in platform."`
+	Fault      faultCommand      `cmd:"" help:"Start or end a fault of a stand-in database server."`
+	StoreFault storeFaultCommand `cmd:"" help:"Start or end a fault of the stand-in platform."`
 }
 
 type databaseCommand struct {
 	Name          string        `default:"bookings" help:"Name of the group."`
-	Listen        []string      `default:"127.0.0.1:6101,127.0.0.1:6102,127.0.0.1:6103" help:"One address a server."`
+	Listen        []string      `default:"127.0.0.1:6101,127.0.0.1:6102,127.0.0.1:6103" help:"Addresses, one per server."`
 	Control       string        `default:"127.0.0.1:6100" help:"Address for faults and status (HTTP)."`
-	ElectionDelay time.Duration `default:"1s" help:"The group's own time to change its primary."`
-	ReceiveDelay  time.Duration `default:"1ms" help:"Replication delay to a replica's log."`
+	ElectionDelay time.Duration `default:"1s" help:"Time that the group takes to change its primary."`
+	ReceiveDelay  time.Duration `default:"1ms" help:"Replication delay until a replica receives an entry."`
 	ConnectCost   time.Duration `default:"10ms" help:"Time to set up a connection."`
-	StatementTime time.Duration `default:"0s" help:"Time that each statement holds a slot."`
-	Connections   int           `default:"40" help:"Connection limit a server."`
-	Slots         int           `default:"5" help:"Statements that run at a time on a server."`
+	StatementTime time.Duration `default:"0s" help:"Time that each statement occupies a slot."`
+	Connections   int           `default:"40" help:"Connection limit per server."`
+	Slots         int           `default:"5" help:"Concurrent statements per server."`
 }
 
-// Run serves the group until it is told to stop.
+// Run serves the group until the command is canceled.
 func (c *databaseCommand) Run(env *environment) error {
 	group, err := database.Start(database.Settings{
 		Name: c.Name, Addresses: c.Listen, ElectionDelay: c.ElectionDelay, ReceiveDelay: c.ReceiveDelay,
@@ -136,18 +137,18 @@
 
 type platformCommand struct {
 	Listen  string        `default:"127.0.0.1:6000" help:"Address (HTTP)."`
-	Readers int           `default:"8" help:"Watches allowed at a time."`
-	ListLag time.Duration `default:"10s" help:"How far the machine list lags."`
+	Readers int           `default:"8" help:"Maximum number of concurrent watches."`
+	ListLag time.Duration `default:"10s" help:"Delay of the machine list."`
 }
 
-// Run serves the stand-in until it is told to stop.
+// Run serves the stand-in until the command is canceled.
 func (c *platformCommand) Run(env *environment) error {
 	store := objectapi.NewStore(objectapi.Settings{Readers: c.Readers, ListLag: c.ListLag})
 	env.printf("stand-in: platform on %s\n", c.Listen)
 	return serveUntilStopped(env, c.Listen, store.Handler())
 }
 
-// postFault calls the stand-in platform's fault address.
+// postFault starts or ends a fault of the stand-in platform.
 func postFault(address, kind string, on bool, amount string) error {
 	values := url.Values{"kind": {kind}, "on": {fmt.Sprint(on)}, "amount": {amount}}
 	response, err := http.Post("http://"+address+"/fault?"+values.Encode(), "text/plain", nil)
@@ -156,15 +157,16 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
-		return errors.Errorf("the stand-in refused: %s", response.Status)
+		return errors.Errorf("the stand-in platform rejected the fault: %s", response.Status)
 	}
 	return nil
 }
 
+// serveUntilStopped serves HTTP requests until the command is canceled.
 func serveUntilStopped(env *environment, address string, handler http.Handler) error {
 	socket, err := net.Listen("tcp", address)
 	if err != nil {
-		return errors.Wrapf(err, "listen on %s; name a free address", address)
+		return errors.Wrapf(err, "listen on %s; use a free address", address)
 	}
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: time.Second}
 	go func() {
--- a/internal/cli/demo.go
+++ b/internal/cli/demo.go
@@ -11,14 +11,14 @@
 )
 
 type demoCommand struct {
-	Seconds   int  `default:"20" help:"How long the workloads run."`
-	Sessions  int  `default:"20" help:"Sessions of each of the two services."`
-	FirstPort int  `default:"7401" help:"Caller port of the first node; 0 chooses free ports."`
-	Stay      bool `help:"Keep the nodes up after the run."`
+	Seconds   int  `default:"20" help:"Duration of the workloads in seconds."`
+	Sessions  int  `default:"20" help:"Number of sessions of each service."`
+	FirstPort int  `default:"7401" help:"Caller port of the first node; 0 selects free ports."`
+	Stay      bool `help:"Keep the nodes running after the workloads."`
 	Verbose   bool `help:"Show the nodes' logs."`
 }
 
-// Run shows both deployments under failures and judges what callers saw.
+// Run runs both deployments under failures and checks what callers saw.
 func (c *demoCommand) Run(env *environment) error {
 	log := zap.NewNop()
 	if c.Verbose {
@@ -39,13 +39,13 @@
 		return err
 	}
 	if len(running.Report.Violations) > 0 {
-		return &violationError{"promises were broken"}
+		return &violationError{"promises were violated"}
 	}
 	if c.Stay {
 		env.printf("\nconnect with any PostgreSQL client, for example\n  psql 'postgres://passenger@%s/bookings?sslmode=disable'\nstop with Ctrl-C\n", running.Fleet.Nodes[0].Address)
 		<-env.ctx.Done()
 	} else {
-		env.printf("\n'dewknot demo --stay' keeps the nodes up for any PostgreSQL client on port %d\n", c.FirstPort)
+		env.printf("\n'dewknot demo --stay' keeps the nodes running for any PostgreSQL client on port %d\n", c.FirstPort)
 	}
 	return nil
 }
--- a/internal/cli/experiment.go
+++ b/internal/cli/experiment.go
@@ -8,14 +8,14 @@
 )
 
 type experimentCommand struct {
-	Designs experimentDesigns `cmd:"" help:"Compare designs in a surge with lagging replicas and a primary cut off."`
+	Designs experimentDesigns `cmd:"" help:"Compare designs in a load surge with lagging replicas and an unreachable primary."`
 	Shares  experimentShares  `cmd:"" help:"Compare queue disciplines under greedy callers."`
 	Owners  experimentOwners  `cmd:"" help:"Measure how long writes stop when a group's owner node is killed or frozen."`
-	Nodes   experimentNodes   `cmd:"" help:"Run real nodes on loopback: traffic and processor time when quiet, and how fast changes come into force."`
+	Nodes   experimentNodes   `cmd:"" help:"Run real nodes on loopback; measure traffic and processor time when idle, and the time until changes are in force."`
 }
 
 type experimentDesigns struct {
-	Plots string `type:"existingdir" help:"Write a plot a deployment into this folder."`
+	Plots string `type:"existingdir" help:"Write a plot for each deployment into this folder."`
 }
 
 // Run prints the comparison and draws the plots.
@@ -42,17 +42,17 @@
 }
 
 type experimentNodes struct {
-	Nodes   int `default:"30" help:"Real nodes in this process."`
-	Changes int `default:"50" help:"Changes a disturbance."`
+	Nodes   int `default:"30" help:"Number of real nodes in this process."`
+	Changes int `default:"50" help:"Number of changes per disturbance."`
 }
 
-// Run prints the quiet state and a row a disturbance.
+// Run prints the cost of idle nodes and a row for each disturbance.
 func (c *experimentNodes) Run(env *environment) error {
 	result, err := benchmark.Nodes(env.ctx, c.Nodes, c.Changes)
 	if err != nil {
 		return err
 	}
-	env.printf("%d real nodes, quiet: %.0f B/s of datagrams and %.2f%% of a core each\n\n", result.Nodes, result.BytesPerSecond, result.CorePercent)
+	env.printf("%d real nodes, idle: %.0f B/s of datagrams and %.2f%% of a core each\n\n", result.Nodes, result.BytesPerSecond, result.CorePercent)
 	env.printf("| disturbance | changes | p50 to the last node | max | later than 8 s |\n|---|---|---|---|---|\n")
 	for _, spread := range result.Spreads {
 		env.printf("| %s | %d | %.0f ms | %.0f ms | %d |\n", spread.Disturbance, c.Changes, spread.P50.Seconds()*1000, spread.Max.Seconds()*1000, spread.Late)
@@ -62,7 +62,7 @@
 
 type experimentOwners struct{}
 
-// Run prints a row a kind of loss.
+// Run prints a row for each kind of owner loss.
 func (experimentOwners) Run(env *environment) error {
 	env.printf("| loss | writes without acknowledgement | violations |\n|---|---|---|\n")
 	for _, outcome := range experiment.OwnerLosses() {
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -8,16 +8,16 @@
 	"dewknot/internal/lab/explain"
 )
 
-// explainCommand tells a story from event logs.
+// explainCommand prints an explanation from event logs.
 type explainCommand struct {
-	Request  string   `xor:"story" required:"" help:"Tell the story of a request, by its id."`
-	Server   string   `xor:"story" required:"" help:"Tell what nodes believed of a server, by its id."`
-	Failover string   `xor:"story" required:"" help:"Tell the changes of a service's primary."`
-	Tenant   string   `xor:"story" required:"" help:"Tell what a tenant's callers were refused, and what their nodes believed of quotas."`
+	Request  string   `xor:"story" required:"" help:"Explain a request, by its id."`
+	Server   string   `xor:"story" required:"" help:"Show the nodes' views of a server, by its id."`
+	Failover string   `xor:"story" required:"" help:"Show the changes of a service's primary."`
+	Tenant   string   `xor:"story" required:"" help:"Show a tenant's rejected requests and the nodes' quota state."`
 	Logs     []string `arg:"" type:"existingfile" help:"Event logs of the nodes."`
 }
 
-// Run reads the logs and writes the story.
+// Run reads the logs and prints the explanation.
 func (c *explainCommand) Run(env *environment) error {
 	logs := &explain.Logs{}
 	for _, path := range c.Logs {
@@ -40,7 +40,7 @@
 func readLog(logs *explain.Logs, path string) error {
 	file, err := os.Open(path)
 	if err != nil {
-		return errors.Wrap(err, "open a log; check its path")
+		return errors.Wrap(err, "open an event log; check its path")
 	}
 	defer func() { _ = file.Close() }()
 	return logs.Read(file)
--- a/internal/cli/load.go
+++ b/internal/cli/load.go
@@ -17,29 +17,29 @@
 
 type loadCommand struct {
 	Nodes       []string      `required:"" help:"Caller addresses of the nodes."`
-	Workload    string        `default:"shirebound" enum:"shirebound,gentvaart" help:"Mix of requests."`
-	Group       string        `help:"Group to use instead of the workload's own."`
-	Sessions    int           `default:"20" help:"Sessions; each moves between the nodes."`
-	Think       time.Duration `default:"40ms" help:"Mean pause of a session."`
-	Duration    time.Duration `default:"20s" help:"How long to run."`
-	Seed        uint64        `default:"1" help:"Seed of the sessions' choices."`
+	Workload    string        `default:"shirebound" enum:"shirebound,gentvaart" help:"Kind of workload."`
+	Group       string        `help:"Database group, instead of the workload's default."`
+	Sessions    int           `default:"20" help:"Number of sessions. Each session moves between the nodes."`
+	Think       time.Duration `default:"40ms" help:"Mean pause between the requests of a session."`
+	Duration    time.Duration `default:"20s" help:"Duration of the run."`
+	Seed        uint64        `default:"1" help:"Seed of the random choices."`
 	Password    string        `help:"Password of the workload's user."`
-	Timeout     time.Duration `default:"8s" help:"When a caller gives up on a request."`
-	Control     string        `help:"Control address of the stand-in group, to judge the history by its logs."`
+	Timeout     time.Duration `default:"8s" help:"Timeout of a request."`
+	Control     string        `help:"Control address of the stand-in group. The history is then checked against the group's logs."`
 	Save        string        `type:"path" help:"Write the history to this file."`
-	PlannedStop []string      `help:"Spans in which a node is stopped as planned, as node:from:to, such as 3:8s:14s."`
-	Lost        time.Duration `help:"When the primary is made to fail, for the failover gap."`
+	PlannedStop []string      `help:"Intervals in which a node is stopped as planned, as node:from:to, such as 3:8s:14s."`
+	Lost        time.Duration `help:"Time from the start at which the primary fails, for measuring the failover gap."`
 }
 
-// span is a time in which a node is stopped as planned.
-type span struct {
+// plannedStop is an interval in which a node is stopped as planned, from the start of the run.
+type plannedStop struct {
 	node     int
 	from, to time.Duration
 }
 
-func parseSpans(texts []string) ([]span, error) {
+func parsePlannedStops(texts []string) ([]plannedStop, error) {
 	const parts = 3
-	var spans []span
+	var stops []plannedStop
 	for _, text := range texts {
 		fields := strings.Split(text, ":")
 		if len(fields) != parts {
@@ -51,14 +51,14 @@
 		if nodeErr != nil || fromErr != nil || toErr != nil {
 			return nil, errors.Errorf("planned stop %q is not of the form node:from:to, such as 3:8s:14s", text)
 		}
-		spans = append(spans, span{node - 1, from, to})
+		stops = append(stops, plannedStop{node - 1, from, to})
 	}
-	return spans, nil
+	return stops, nil
 }
 
-// Run drives the nodes and, given a control address, judges what callers saw.
+// Run sends requests to the nodes. With a control address it checks the recorded history.
 func (c *loadCommand) Run(env *environment) error {
-	spans, err := parseSpans(c.PlannedStop)
+	stops, err := parsePlannedStops(c.PlannedStop)
 	if err != nil {
 		return err
 	}
@@ -75,7 +75,7 @@
 		Password: c.Password, Timeout: c.Timeout, Started: started,
 		StoppingNode: func(index int) bool {
 			now := time.Since(started)
-			for _, stop := range spans {
+			for _, stop := range stops {
 				if stop.node == index && now >= stop.from && now < stop.to {
 					return true
 				}
@@ -97,10 +97,11 @@
 	if c.Control == "" {
 		return nil
 	}
-	return c.judge(env, recorded, workload.Group)
+	return c.checkHistory(env, recorded, workload.Group)
 }
 
-func (c *loadCommand) judge(env *environment, recorded *history.History, group string) error {
+// checkHistory checks the recorded history against the logs of the stand-in group.
+func (c *loadCommand) checkHistory(env *environment, recorded *history.History, group string) error {
 	client := database.NewClient(c.Control)
 	leader, servers, err := client.Leader()
 	if err != nil {
@@ -132,25 +133,25 @@
 type faultCommand struct {
 	Control string        `default:"127.0.0.1:6100" help:"Control address of the stand-in group."`
 	Server  string        `default:"primary" help:"Number of the server, or primary."`
-	Kind    string        `arg:"" enum:"cut,pause,kill,lag,switchover" help:"Fault: cut, pause, kill, lag or switchover."`
+	Kind    string        `arg:"" enum:"cut,pause,kill,lag,switchover" help:"Kind of fault: cut, pause, kill, lag or switchover."`
 	Off     bool          `help:"End the fault."`
-	Amount  time.Duration `help:"Amount of lag."`
+	Amount  time.Duration `help:"Replication lag."`
 }
 
-// Run causes or ends a fault on a stand-in database server.
+// Run starts or ends a fault of a stand-in database server.
 func (c *faultCommand) Run(_ *environment) error {
 	return database.NewClient(c.Control).SetFault(c.Server, database.Fault(c.Kind), !c.Off, c.Amount)
 }
 
 type storeFaultCommand struct {
 	Store  string        `default:"127.0.0.1:6000" help:"Address of the stand-in platform."`
-	Kind   string        `arg:"" enum:"down,slow,lose-answer" help:"Fault: down, slow or lose-answer."`
+	Kind   string        `arg:"" enum:"down,slow,lose-answer" help:"Kind of fault: down, slow or lose-answer."`
 	Off    bool          `help:"End the fault."`
-	Amount time.Duration `help:"How slow."`
-	Count  int           `default:"1" help:"How many answers to lose."`
+	Amount time.Duration `help:"Delay of answers."`
+	Count  int           `default:"1" help:"Number of answers to lose."`
 }
 
-// Run causes or ends a fault on the stand-in platform.
+// Run starts or ends a fault of the stand-in platform.
 func (c *storeFaultCommand) Run(_ *environment) error {
 	amount := c.Amount.String()
 	if c.Kind == "lose-answer" {
--- a/internal/cli/operators.go
+++ b/internal/cli/operators.go
@@ -20,57 +20,59 @@
 	"dewknot/internal/postgres/policy"
 )
 
-// remote holds the flags of commands that call a node.
-type remote struct {
+// nodeFlags are the flags of commands that call a node.
+type nodeFlags struct {
 	Node string `default:"127.0.0.1:7004" help:"Operator address of any node."`
 }
 
-func (r remote) client() *operator.Client { return operator.NewClient(r.Node) }
+func (f nodeFlags) client() *operator.Client { return operator.NewClient(f.Node) }
 
-// changing holds the flags of commands that change configuration.
-type changing struct {
-	remote
-	As        string `help:"Your name as author; the login name if empty."`
-	Operation string `help:"Identifier of this change; give the same one to send a change again after a lost answer."`
-	Note      string `help:"Why the change is made."`
+// changeFlags are the flags of commands that change the configuration.
+type changeFlags struct {
+	nodeFlags
+	As        string `help:"Author of the change; the login name if empty."`
+	Operation string `help:"Identifier of the change; use the same one to retry a change after a lost answer."`
+	Note      string `help:"Reason for the change."`
 }
 
-func (c changing) change(replaces uint64) administration.Change {
-	author := c.As
+// change returns a change by the author. Its operation is random if no flag sets it.
+func (f changeFlags) change(replaces uint64) administration.Change {
+	author := f.As
 	if author == "" {
 		if current, err := user.Current(); err == nil {
 			author = current.Username
 		}
 	}
-	operation := c.Operation
+	operation := f.Operation
 	if operation == "" {
 		var random [8]byte
 		_, _ = rand.Read(random[:]) // crypto/rand.Read never fails
 		operation = hex.EncodeToString(random[:])
 	}
-	return administration.Change{Operation: operation, Author: author, Note: c.Note, Replaces: replaces}
+	return administration.Change{Operation: operation, Author: author, Note: f.Note, Replaces: replaces}
 }
 
-func reportOutcome(env *environment, what string, outcome administration.Outcome, change administration.Change, err error) error {
+// reportOutcome prints whether a change to a subject is in force or needs a review.
+func reportOutcome(env *environment, subject string, outcome administration.Outcome, change administration.Change, err error) error {
 	if err != nil {
-		return errors.Wrapf(err, "%s (operation %s)", what, change.Operation)
+		return errors.Wrapf(err, "%s (operation %s)", subject, change.Operation)
 	}
 	if outcome.InForce {
-		env.printf("%s: accepted as version %d\n", what, outcome.Version)
+		env.printf("%s: accepted as version %d\n", subject, outcome.Version)
 	} else {
-		env.printf("%s: waits for review as version %d\n", what, outcome.Version)
+		env.printf("%s: waits for review as version %d\n", subject, outcome.Version)
 	}
 	return nil
 }
 
 type policyCommand struct {
 	Check   policyCheck   `cmd:"" help:"Check a policy program offline and show its rules."`
-	Diff    policyDiff    `cmd:"" help:"Show what a policy would change against the one in force."`
+	Diff    policyDiff    `cmd:"" help:"Show the differences of a policy from the one in force."`
 	Try     policyTry     `cmd:"" help:"Show which requests of a recorded history a policy would treat differently."`
 	Submit  policySubmit  `cmd:"" help:"Submit a policy, replacing the version in force."`
 	Review  policyReview  `cmd:"" help:"Show, and with --approve put in force, the policy that waits for review."`
 	Show    policyShow    `cmd:"" help:"Show the policy in force."`
-	History policyHistory `cmd:"" help:"Show who changed a policy."`
+	History policyHistory `cmd:"" help:"Show the recorded changes of a policy."`
 	Status  policyStatus  `cmd:"" help:"Show the version in force on every node."`
 }
 
@@ -87,7 +89,7 @@
 	File string `arg:"" type:"existingfile" help:"Policy program."`
 }
 
-// Run compiles the program and lists its rules.
+// Run compiles the program and prints its rules.
 func (c *policyCheck) Run(env *environment) error {
 	table, _, err := compileFile(c.File)
 	if err != nil {
@@ -104,11 +106,11 @@
 }
 
 type policyDiff struct {
-	remote
+	nodeFlags
 	File string `arg:"" type:"existingfile" help:"Policy program."`
 }
 
-// Run compares a program with the policy in force.
+// Run prints the differences of a program from the policy in force.
 func (c *policyDiff) Run(env *environment) error {
 	table, _, err := compileFile(c.File)
 	if err != nil {
@@ -136,7 +138,7 @@
 	Against string `type:"existingfile" help:"Policy program to compare with; the default rule if not given."`
 }
 
-// Run sums up, by kind, what would change for the recorded requests.
+// Run prints, by kind of request, how many recorded requests would be treated differently.
 func (c *policyTry) Run(env *environment) error {
 	table, _, err := compileFile(c.File)
 	if err != nil {
@@ -153,18 +155,18 @@
 		return err
 	}
 	rows := trial.Compare(before, table, recorded.Operations)
-	env.printf("%-22s %9s %9s %9s %9s %9s\n", "kind", "requests", "routed", "refused", "let in", "too late")
+	env.printf("%-22s %9s %9s %9s %9s %9s\n", "kind", "requests", "routed", "rejected", "admitted", "too late")
 	for _, row := range rows {
 		env.printf("%-22s %9d %9d %9d %9d %9d\n", row.Kind, row.Requests, row.Rerouted, row.Refused, row.Admitted, row.TooLate)
 	}
-	env.printf("routed: other freshness or server role; too late: answered then, but past the new wait limit\n")
+	env.printf("routed: different freshness or server role; too late: answered, but after the new wait limit\n")
 	return nil
 }
 
 type policySubmit struct {
-	changing
+	changeFlags
 	File     string  `arg:"" type:"existingfile" help:"Policy program."`
-	Replaces *uint64 `help:"Version that it replaces; the one in force now if not given."`
+	Replaces *uint64 `help:"Version that the policy replaces; the one in force if not given."`
 }
 
 // Run submits the policy.
@@ -189,12 +191,12 @@
 }
 
 type policyReview struct {
-	changing
+	changeFlags
 	Service string `arg:"" help:"Service."`
-	Approve uint64 `help:"Put the proposal of this version in force."`
+	Approve uint64 `help:"Approve the proposal with this version."`
 }
 
-// Run shows the waiting proposal or approves it.
+// Run shows the proposal that waits for review or approves it.
 func (c *policyReview) Run(env *environment) error {
 	if c.Approve > 0 {
 		change := c.change(c.Approve)
@@ -214,7 +216,7 @@
 }
 
 type policyShow struct {
-	remote
+	nodeFlags
 	Service string `arg:"" help:"Service."`
 }
 
@@ -225,7 +227,7 @@
 		return err
 	}
 	if state.Version == 0 {
-		env.printf("service %s has no policy; the default holds: %s\n", c.Service, policy.DefaultRule())
+		env.printf("service %s has no policy; the default is in force: %s\n", c.Service, policy.DefaultRule())
 		return nil
 	}
 	env.printf("# version %d by %s\n%s\n", state.Version, state.Policy.Author, state.Policy.Source)
@@ -233,11 +235,11 @@
 }
 
 type policyHistory struct {
-	remote
+	nodeFlags
 	Service string `arg:"" help:"Service."`
 }
 
-// Run lists the operations that a policy remembers.
+// Run prints the recorded changes of a policy.
 func (c *policyHistory) Run(env *environment) error {
 	state, err := c.client().Policy(env.ctx, c.Service)
 	if err != nil {
@@ -250,10 +252,10 @@
 }
 
 type policyStatus struct {
-	remote
+	nodeFlags
 }
 
-// Run shows each node's version of each policy.
+// Run prints the policy versions of each node.
 func (c *policyStatus) Run(env *environment) error {
 	fleet, err := c.client().Fleet(env.ctx)
 	if err != nil {
@@ -274,11 +276,11 @@
 
 type machineCommand struct {
 	Stop   machineStop   `cmd:"" help:"Mark a node or server for a planned stop."`
-	Resume machineResume `cmd:"" help:"Take the mark away."`
+	Resume machineResume `cmd:"" help:"Remove the mark."`
 }
 
 type machineMark struct {
-	changing
+	changeFlags
 	Name  string `arg:"" help:"Name of a node, or address of a server."`
 	Group string `help:"Group of the server; empty for a node."`
 }
@@ -290,7 +292,7 @@
 
 type machineResume struct{ machineMark }
 
-// Run takes the mark away.
+// Run removes the mark.
 func (c *machineResume) Run(env *environment) error { return c.mark(env, false) }
 
 func (c *machineMark) mark(env *environment, leaving bool) error {
@@ -308,14 +310,14 @@
 }
 
 type groupSet struct {
-	changing
+	changeFlags
 	Name        string   `arg:"" help:"Name of the group; callers connect to it as the database."`
 	Servers     []string `required:"" help:"Servers as zone=address."`
-	Slots       int      `required:"" help:"Statements that a server runs at a time."`
-	Connections int      `required:"" help:"Connection limit a server."`
-	User        string   `default:"dewknot" help:"User towards the servers."`
-	Password    string   `help:"Password towards the servers."`
-	Replaces    uint64   `help:"Version that it replaces; 0 for a new group."`
+	Slots       int      `required:"" help:"Concurrent statements per server."`
+	Connections int      `required:"" help:"Connection limit per server."`
+	User        string   `default:"dewknot" help:"User name at the servers."`
+	Password    string   `help:"Password at the servers."`
+	Replaces    uint64   `help:"Version that the group replaces; 0 for a new group."`
 }
 
 // Run stores the group.
@@ -338,13 +340,13 @@
 }
 
 type userSet struct {
-	changing
+	changeFlags
 	Name     string `arg:"" help:"User name."`
 	Password string `required:"" env:"DEWKNOT_USER_PASSWORD" help:"Password; only its verifier is stored."`
-	Replaces uint64 `help:"Version that it replaces; 0 for a new user."`
+	Replaces uint64 `help:"Version that the user replaces; 0 for a new user."`
 }
 
-// Run stores the verifier.
+// Run stores the verifier of the password.
 func (c *userSet) Run(env *environment) error {
 	verifier, err := credential.NewVerifier(c.Name, c.Password)
 	if err != nil {
@@ -356,10 +358,10 @@
 }
 
 type statusCommand struct {
-	remote
+	nodeFlags
 }
 
-// Run prints a line a node and a line a group's server.
+// Run prints each node with its groups and their servers.
 func (c *statusCommand) Run(env *environment) error {
 	fleet, err := c.client().Fleet(env.ctx)
 	if err != nil {
--- a/internal/cli/rounds.go
+++ b/internal/cli/rounds.go
@@ -2,9 +2,9 @@
 
 import "dewknot/internal/lab/rounds"
 
-// roundsCommand shows measured rounds of the journal.
+// roundsCommand shows the measured rounds in journal entries.
 type roundsCommand struct {
-	Site    string   `required:"" help:"Deployment whose rounds are shown."`
+	Site    string   `required:"" help:"Deployment of the rounds."`
 	Plot    string   `help:"Draw the first and the last round into this PNG file."`
 	Entries []string `arg:"" type:"existingfile" help:"Journal entries (JSON)."`
 }
--- a/internal/cli/timeline.go
+++ b/internal/cli/timeline.go
@@ -7,15 +7,15 @@
 	"dewknot/internal/lab/timeline"
 )
 
-// timelineCommand draws a page from event logs.
+// timelineCommand plots the outcomes of requests from event logs.
 type timelineCommand struct {
-	Out  string        `required:"" help:"Picture to write (PNG)."`
-	Step time.Duration `default:"500ms" help:"Length of a column."`
-	Late time.Duration `default:"1s" help:"Time from which a served request counts as late."`
+	Out  string        `required:"" help:"Image file to write (PNG)."`
+	Step time.Duration `default:"500ms" help:"Duration of a column."`
+	Late time.Duration `default:"1s" help:"Duration from which a served request counts as late."`
 	Logs []string      `arg:"" type:"existingfile" help:"Event logs of the nodes."`
 }
 
-// Run reads the logs and draws the page.
+// Run reads the logs and writes the image.
 func (c *timelineCommand) Run(*environment) error {
 	logs := &explain.Logs{}
 	for _, path := range c.Logs {
--- a/internal/cli/tools.go
+++ b/internal/cli/tools.go
@@ -19,15 +19,15 @@
 )
 
 type simCommand struct {
-	Seeds   uint64 `default:"200" help:"How many random runs to make."`
+	Seeds   uint64 `default:"200" help:"Number of simulated runs, each with its own seed."`
 	First   uint64 `default:"0" help:"First seed."`
-	Workers int    `default:"0" help:"Runs at a time; all cores if 0."`
-	Save    string `type:"path" help:"Write the history of the first seed to this file."`
-	Trace   string `type:"path" help:"Record the machine of one group in the first seed to this file."`
+	Workers int    `default:"0" help:"Concurrent runs; the number of cores if 0."`
+	Save    string `type:"path" help:"Write the history of the first run to this file."`
+	Trace   string `type:"path" help:"Record a trace of one group's state machine in the first run to this file."`
 }
 
-// verdict is the outcome of one seed.
-type verdict struct {
+// seedResult is the result of the simulated run with a seed.
+type seedResult struct {
 	seed   uint64
 	report *check.Report
 	events uint64
@@ -44,7 +44,7 @@
 		}
 	}
 	started := time.Now()
-	verdicts := make([]verdict, c.Seeds)
+	results := make([]seedResult, c.Seeds)
 	var next atomic.Uint64
 	var workers errgroup.Group
 	for range c.Workers {
@@ -55,7 +55,7 @@
 					return nil
 				}
 				recorded, result := sim.Run(sim.RandomSettings(c.First + index))
-				verdicts[index] = verdict{c.First + index, check.History(recorded), result.Events}
+				results[index] = seedResult{c.First + index, check.History(recorded), result.Events}
 				if index == 0 && c.Save != "" {
 					if err := saveHistory(c.Save, recorded); err != nil {
 						return err
@@ -68,10 +68,10 @@
 	if err := workers.Wait(); err != nil {
 		return err
 	}
-	return reportVerdicts(env, verdicts, time.Since(started))
+	return reportSeeds(env, results, time.Since(started))
 }
 
-// record runs the first seed once more with a recorder.
+// record runs the first seed again and records a trace.
 func (c *simCommand) record() error {
 	file, err := os.Create(c.Trace)
 	if err != nil {
@@ -88,13 +88,12 @@
 }
 
 type replayTrace struct {
-	File   string `arg:"" type:"existingfile" help:"Trace of a group's machine (dewknot sim --trace) or of a failover machine."`
-	Expect string `type:"existingfile" help:"File of stated outcomes: a line a request or order, as this command prints with --outcomes."`
-	// Outcomes prints what became of each request.
-	Outcomes bool `help:"Print what became of each request, or the orders to promote."`
+	File     string `arg:"" type:"existingfile" help:"Trace of a group's state machine (dewknot sim --trace) or of a failover state machine."`
+	Expect   string `type:"existingfile" help:"File with the expected outcomes, in the format of --outcomes."`
+	Outcomes bool   `help:"Print the outcome of each request, or the orders to promote."`
 }
 
-// Run replays the trace; a difference counts as a violation.
+// Run replays the trace. A difference is a violation.
 func (c *replayTrace) Run(env *environment) error {
 	file, err := os.Open(c.File)
 	if err != nil {
@@ -110,12 +109,12 @@
 		env.printf("%s", lines)
 	}
 	if c.Expect != "" {
-		stated, err := os.ReadFile(c.Expect)
+		expected, err := os.ReadFile(c.Expect)
 		if err != nil {
-			return errors.Wrap(err, "read stated outcomes")
+			return errors.Wrap(err, "read expected outcomes")
 		}
-		if string(stated) != lines {
-			return &violationError{"the outcomes differ from the stated ones; see --outcomes"}
+		if string(expected) != lines {
+			return &violationError{"the outcomes differ from the expected ones; print them with --outcomes"}
 		}
 	}
 	if result.Difference != "" {
@@ -127,6 +126,7 @@
 	return nil
 }
 
+// outcomeLines returns a line for each outcome and order.
 func outcomeLines(result *trace.Result) string {
 	var lines strings.Builder
 	for _, outcome := range result.Outcomes {
@@ -150,25 +150,26 @@
 	return errors.Wrap(file.Close(), "write history")
 }
 
-func reportVerdicts(env *environment, verdicts []verdict, took time.Duration) error {
+// reportSeeds prints the first violation of each seed and the sums over all seeds.
+func reportSeeds(env *environment, results []seedResult, duration time.Duration) error {
 	total := &check.Report{Judged: map[check.Promise]int{}}
 	events, failed := uint64(0), 0
-	for _, current := range verdicts {
-		events += current.events
-		if len(current.report.Violations) > 0 {
+	for _, result := range results {
+		events += result.events
+		if len(result.report.Violations) > 0 {
 			failed++
-			env.printf("seed %d: %s: %s\n", current.seed, current.report.Violations[0].Promise, current.report.Violations[0].Detail)
+			env.printf("seed %d: %s: %s\n", result.seed, result.report.Violations[0].Promise, result.report.Violations[0].Detail)
 		}
-		total.Violations = append(total.Violations, current.report.Violations...)
-		for promise, count := range current.report.Judged {
+		total.Violations = append(total.Violations, result.report.Violations...)
+		for promise, count := range result.report.Judged {
 			total.Judged[promise] += count
 		}
 	}
-	env.printf("%d seeds, %d events, %s\n", len(verdicts), events, took.Round(time.Millisecond))
+	env.printf("%d seeds, %d events, %s\n", len(results), events, duration.Round(time.Millisecond))
 	return reportChecks(env, total, failed)
 }
 
-// reportChecks prints a line a promise and fails if one was broken.
+// reportChecks prints a line for each promise. It returns an error if a promise was violated.
 func reportChecks(env *environment, report *check.Report, failedRuns int) error {
 	for _, promise := range check.All {
 		env.printf("  %-26s judged %-9d violations %d\n", promise, report.Judged[promise], report.Count(promise))
@@ -180,14 +181,14 @@
 }
 
 type checkCommand struct {
-	History checkHistory `cmd:"" help:"Judge a recorded history."`
+	History checkHistory `cmd:"" help:"Check a recorded history."`
 }
 
 type checkHistory struct {
 	File string `arg:"" type:"existingfile" help:"History written by dewknot sim or dewknot load."`
 }
 
-// Run judges the history and lists every violation.
+// Run checks the history and prints every violation.
 func (c *checkHistory) Run(env *environment) error {
 	recorded, err := history.LoadFile(c.File)
 	if err != nil {
