--- a/cmd/dewknot-proxy/main.go
+++ b/cmd/dewknot-proxy/main.go
@@ -12,8 +12,8 @@
 )
 
 type commands struct {
-	Run   runCommand   `cmd:"" help:"Run a node until it is told to stop."`
-	Check checkCommand `cmd:"" help:"Check a settings file and show what is in force."`
+	Run   runCommand   `cmd:"" help:"Run a node until SIGTERM or SIGINT."`
+	Check checkCommand `cmd:"" help:"Check a settings file and show the effective settings."`
 }
 
 type runCommand struct {
