--- a/internal/proxy/degraded.go
+++ b/internal/proxy/degraded.go
@@ -10,18 +10,19 @@
 	"dewknot/internal/proxy/network"
 )
 
-// lookDegraded notes whether this node takes itself to be at fault, since other nodes,
-// servers and the store are all silent. It then suspects no primary, wants no new
-// callers, and lets go of those that it has: on other nodes they are served.
-func (n *Node) lookDegraded(now time.Time) {
+// checkDegraded updates whether this node considers itself degraded, because other nodes, the
+// servers and the store are all silent. A degraded node suspects no primary, accepts no new callers
+// and closes sessions that are between transactions, so that other nodes serve these callers.
+func (n *Node) checkDegraded(now time.Time) {
 	signs := n.serverSigns(now)
 	degraded, changed := n.Distrusts(now, signs)
 	n.Degraded.Store(degraded)
 	if changed {
-		n.log.Write(eventlog.NodeDegraded, zap.Bool("degraded", degraded), zap.Int("servers_silent", signs.Silent),
+		n.log.Write(eventlog.NodeDegraded, zap.Bool("degraded", degraded),
+			zap.Int("servers_silent", signs.Silent),
 			zap.Int64("sessions", n.sessionCount.Load()))
 		if !degraded {
-			// Other nodes may have taken leases over meanwhile.
+			// Other nodes may have taken over leases in the meantime.
 			n.RefreshLeases()
 		}
 	}
@@ -30,7 +31,7 @@
 	}
 }
 
-// serverSigns returns what the node has heard of the servers that it uses.
+// serverSigns returns what the node has heard from the servers that it uses.
 func (n *Node) serverSigns(now time.Time) network.ServerSigns {
 	var signs network.ServerSigns
 	n.Servers.Range(func(_, value any) bool {
@@ -47,19 +48,20 @@
 	return signs
 }
 
-// secluded reports whether the node is of no use to callers at present.
-func (n *Node) secluded() bool { return n.Isolated.Load() || n.Degraded.Load() }
+// impaired reports whether the node is isolated or degraded and can't serve callers.
+func (n *Node) impaired() bool { return n.Isolated.Load() || n.Degraded.Load() }
 
-// lookIsolated notes whether this node is cut off from the voters. It then wants no new
-// callers and lets go of those that it has as soon as nothing of theirs is under way: on
-// other nodes they are served.
-func (n *Node) lookIsolated(now time.Time) {
+// checkIsolated updates whether this node is cut off from the voters. An isolated node accepts no
+// new callers and closes sessions that are between transactions, so that other nodes serve these
+// callers.
+func (n *Node) checkIsolated(now time.Time) {
 	if n.Tenures == nil {
 		return
 	}
 	isolated := n.Tenures.Isolated(now)
 	if n.Isolated.Swap(isolated) != isolated {
-		n.log.Write(eventlog.NodeIsolated, zap.Bool("isolated", isolated), zap.Int64("sessions", n.sessionCount.Load()))
+		n.log.Write(eventlog.NodeIsolated, zap.Bool("isolated", isolated),
+			zap.Int64("sessions", n.sessionCount.Load()))
 	}
 	if isolated {
 		n.interruptSessions()
--- a/internal/proxy/fleet_test.go
+++ b/internal/proxy/fleet_test.go
@@ -75,7 +75,7 @@
 	led []int
 	// muted holds the nodes that read nothing from the links of others.
 	muted map[string]bool
-	// answered counts the bytes of the answers that nodes gave each other.
+	// countCommand counts the bytes of the answers that nodes gave each other.
 	answered atomic.Int64
 	// traces holds the traces of all failover machines, if they are recorded.
 	traces *traceRecorder
--- a/internal/proxy/room_test.go
+++ b/internal/proxy/headroom_test.go
@@ -45,7 +45,7 @@
 func admitted(r *run, target *backends.Server, class admission.Class) int {
 	count := 0
 	for range 1000 {
-		if r.admits(target, class) {
+		if r.passesEarlyCheck(target, class) {
 			count++
 		}
 	}
@@ -61,7 +61,7 @@
 		must.Eq(t, 1000, admitted(r, target, admission.Anywhere), must.Sprint("a node that starts knows nothing"))
 		r.session.node.OwnerReported("s1", time.Now(), &told.Report{Life: 1, Sequence: 1, Waits: [urgency.Levels]uint16{0, 400, 4000, 4000}, Waiting: 30})
 		must.Between(t, 200, admitted(r, target, admission.Anywhere), 300)
-		must.Eq(t, toldWait, r.session.account.room.rule)
+		must.Eq(t, ruleReportedWait, r.session.record.headroom.rule)
 		must.Eq(t, 1000, admitted(r, target, admission.OnlyHere))
 		time.Sleep(told.Life)
 		must.Eq(t, 1000, admitted(r, target, admission.Anywhere))
@@ -70,7 +70,7 @@
 		defer views.session.node.log.Close()
 		views.session.node.OwnerReported("s1", time.Now(), &told.Report{Life: 1, Sequence: 1, Waits: [urgency.Levels]uint16{0, 400, 4000, 4000}, Waiting: 30})
 		must.Eq(t, 0, admitted(views, busy, admission.Anywhere))
-		must.Eq(t, toldDeadline, views.session.account.room.rule)
+		must.Eq(t, ruleReportedDeadline, views.session.record.headroom.rule)
 	})
 }
 
--- a/internal/proxy/node.go
+++ b/internal/proxy/node.go
@@ -1,11 +1,12 @@
-// Package proxy is the node's runtime for callers: it accepts sessions, runs their commands
-// on database servers, and bounds what tenants do.
+// Package proxy serves callers: it accepts their sessions, runs their commands on database servers
+// and enforces the tenants' quotas.
 //
-// A request's way is session.go (who asks, what is bound), quotas.go (may it run now),
-// read.go, write.go and transaction.go (what it needs and where it may run), run.go (a place
-// there, the attempt and its outcome) and comeback.go (when a refused caller returns). What
-// it goes by is kept by package backends, and below that by package network. Outside systems
-// are reached through ports: callers (Client), servers (upstream.Dialer), the durable store
+// A request passes through session.go (the caller's tenant and route), quotas.go (the tenant's
+// quota), read.go, write.go and transaction.go (which servers may run it), run.go (a slot there,
+// the attempt and its outcome), headroom.go (rejection when servers have no headroom) and
+// retryafter.go (when a rejected caller should retry). Package backends keeps the state of services
+// and servers, package network the configuration and the members. External systems are reached
+// through interfaces: callers (Client), servers (upstream.Dialer), the durable store
 // (objectstore.Store) and the platform's promotions (backends.Promoter).
 package proxy
 
@@ -31,26 +32,26 @@
 
 // Client is the caller's end of a session.
 type Client interface {
-	// ReadStart reads how the caller begins the session.
+	// ReadStart reads the message that begins the session.
 	ReadStart(deadline time.Time) (Start, error)
-	// Accept tells the caller that the session is open.
+	// Accept reports to the caller that the session is open.
 	Accept() error
-	// Refuse tells the caller why the session is not opened; a close follows.
+	// Refuse reports why the session is not opened. The caller must Close the client afterwards.
 	Refuse(reason *failure.Error) error
-	// ReadCommand reads the next command. A zero deadline waits forever; a
-	// deadline that passes before the command begins is ErrIdle.
+	// ReadCommand reads the next command. A zero deadline means no deadline. It returns ErrIdle if
+	// the deadline passes before a command begins.
 	ReadCommand(deadline time.Time) (command.Command, error)
-	// Reply answers the last command.
+	// Reply sends the answer to the last command.
 	Reply(reply Reply) error
-	// Interrupt makes a ReadCommand that waits for a command return ErrIdle.
+	// Interrupt makes a ReadCommand that is waiting for a command return ErrIdle.
 	Interrupt()
 	// Close closes the connection.
 	Close()
 }
 
-// Start is how a caller begins a session.
+// Start is the message that begins a session.
 type Start struct {
-	// Database names the route.
+	// Database selects the route.
 	Database string
 	// Key is the digest of the caller's API key.
 	Key catalog.KeyDigest
@@ -65,70 +66,70 @@
 	State     upstream.TransactionState
 }
 
-// Options are the node's settings.
+// Options are the settings of a node.
 type Options struct {
 	Name string
 	Zone string
-	// PeerAddress is where other nodes reach this one.
+	// PeerAddress is the address at which other nodes reach this one.
 	PeerAddress string
-	// Agreed makes nodes agree on tenures, since the platform checks no fences.
-	// MessageAddress is where messages of the agreement reach this node.
+	// Agreed makes the nodes agree on tenures by quorum. It is needed where the platform doesn't
+	// check fencing tokens. MessageAddress is where the node receives the quorum's messages.
 	Agreed         bool
 	MessageAddress string
-	// Seeds are addresses of some other nodes, which a node that starts asks while
-	// the store does not answer. They may be out of date.
+	// Seeds are addresses of other nodes, which a starting node asks while the store doesn't
+	// answer. They may be out of date.
 	Seeds   []string
 	Regions map[string]string // region by zone
-	// Life is unique to the process.
+	// Life identifies this incarnation of the node's process.
 	Life string
-	// ConfigurationBound is within how long a change has to be in force.
+	// ConfigurationBound is the time within which a configuration change must be in force.
 	ConfigurationBound time.Duration
-	// DrainBound is within how long a leaving server must receive no new work.
+	// DrainBound is the time after which a leaving server must not receive new work.
 	DrainBound time.Duration
-	// EvacuationBound is within how long the servers of an evacuated zone must receive nothing;
-	// 0 where zones are not evacuated.
+	// EvacuationBound is the time after which the servers of an evacuated zone must not receive
+	// anything. It is 0 if zones are never evacuated.
 	EvacuationBound time.Duration
-	// ColdOverage and ColdSlack are by how much the requests to a cold server may pass its rate
-	// in a second.
+	// ColdOverage and ColdSlack are how far the requests to a cold server may exceed its rate in
+	// any second: a fraction of the rate, and a number of requests.
 	ColdOverage float64
 	ColdSlack   float64
-	// StopGrace is the time from the signal to stop until the process is killed.
+	// StopGrace is the time from the stop signal until the process is killed.
 	StopGrace time.Duration
-	// Quotas are the bounds of the tenants' quotas; a zero window means that there are none.
+	// Quotas bound how far tenants may exceed their quotas. A zero window disables quotas.
 	Quotas quota.Bounds
-	// TokenAddress is where messages about tokens reach this node.
+	// TokenAddress is where the node receives messages about quota tokens.
 	TokenAddress string
 	// FirstStart is set while the whole fleet starts for the first time.
 	FirstStart bool
-	// StrictRevocation makes the node serve nobody's key while it has not heard for longer
-	// than RevocationBound which keys are in force.
+	// StrictRevocation makes the node reject all keys if its knowledge of the valid keys is older
+	// than RevocationBound.
 	StrictRevocation bool
 	RevocationBound  time.Duration
-	// Capacity is what the node may use, which it tells the others.
+	// Capacity is what the node may use of its machine. It is announced to the other nodes.
 	Capacity network.Capacity
 	Kinds    network.Kinds
 }
 
-// Ports are the node's ways to the outside.
+// Ports are the node's interfaces to external systems.
 type Ports struct {
 	Store    objectstore.Store
 	Dialer   upstream.Dialer
 	Promoter backends.Promoter
 	Decoder  network.Decoder
-	// Peers asks other nodes.
+	// Peers sends requests to other nodes.
 	Peers network.Peers
-	// Messages carries the messages of the agreement; nil if nodes do not agree.
+	// Messages sends the quorum's messages; nil unless Options.Agreed is set.
 	Messages tenure.Sender
-	// Tokens carries the messages about tenants' tokens; nil if there are no quotas.
+	// Tokens sends messages about quota tokens; nil disables quotas.
 	Tokens quota.Sender
-	// Traffic counts the bytes of the other ports; nil if nobody counts.
+	// Traffic counts the bytes of the other ports; it may be nil.
 	Traffic *traffic.Meter
-	// Connect opens a connection to an address, for tunnels of other nodes.
+	// Connect dials an address for a tunnel that another node opened.
 	Connect func(ctx context.Context, address string) (net.Conn, error)
 	// Client wraps an accepted connection.
 	Client func(net.Conn) Client
-	// Trace, if not nil, begins the trace of a service's failover machine, whose
-	// takeovers are delayed by a rank.
+	// Trace, if not nil, starts recording the failover state machine of a service. The rank is the
+	// delay of the machine's takeovers.
 	Trace func(service string, rank time.Duration) backends.FailoverTrace
 }
 
@@ -146,29 +147,32 @@
 	sessionCount atomic.Int64
 	closing      atomic.Bool
 	aborting     atomic.Bool
-	// quotas is nil where there are none. hasShare is set once the node has its share,
-	// listedBefore is how many members the last list had; both belong to the goroutine
-	// that looks at the members.
-	quotas       *quota.Keeper
-	hasShare     bool
-	listedBefore int
+	// quotas is nil if there are no quotas. hasShare is set once the node has its share of them,
+	// previousMembers is the number of members in the previous list. Only the goroutine that follows
+	// the members uses hasShare and previousMembers.
+	quotas          *quota.Keeper
+	hasShare        bool
+	previousMembers int
 }
 
-// New returns a node that is not running yet.
+// New returns a node. Run starts it.
 func New(options Options, ports Ports, log *eventlog.Log) *Node {
 	node := &Node{
 		options: options, ports: ports, log: log, catalog: catalog.New(options.DrainBound), started: time.Now(),
 	}
 	node.metrics = newMetrics(node)
-	ways := network.Ports{
-		Store: ports.Store, StoreCalls: node.metrics.storeCalls, EntriesRefused: node.metrics.entriesRefused, Decoder: ports.Decoder, Peers: ports.Peers, Traffic: ports.Traffic,
+	networkPorts := network.Ports{
+		Store: ports.Store, StoreCalls: node.metrics.storeCalls,
+		EntriesRefused: node.metrics.entriesRefused, Decoder: ports.Decoder, Peers: ports.Peers,
+		Traffic: ports.Traffic,
 	}
-	known := network.New(networkOptions(&options), ways, duties{node}, node.catalog, node.started, log)
-	ways.Store = known.Store()
+	nodeNetwork := network.New(networkOptions(&options), networkPorts, networkDuties{node},
+		node.catalog, node.started, log)
+	networkPorts.Store = nodeNetwork.Store()
 	node.Backends = backends.New(backendOptions(&options), backends.Ports{
-		Ports: ways, Dialer: ports.Dialer, Promoter: ports.Promoter, Messages: ports.Messages,
+		Ports: networkPorts, Dialer: ports.Dialer, Promoter: ports.Promoter, Messages: ports.Messages,
 		Connect: ports.Connect, Trace: ports.Trace,
-	}, known, node.lookAtOneself)
+	}, nodeNetwork, node.checkSelf)
 	node.metrics.register(node.Collectors()...)
 	node.quotas = node.newQuotas()
 	return node
@@ -179,26 +183,31 @@
 		Name: options.Name, Zone: options.Zone, PeerAddress: options.PeerAddress,
 		MessageAddress: options.MessageAddress, TokenAddress: options.TokenAddress,
 		Seeds: options.Seeds, Regions: options.Regions,
-		ConfigurationBound: options.ConfigurationBound, DrainBound: options.DrainBound, EvacuationBound: options.EvacuationBound,
-		StrictRevocation: options.StrictRevocation, RevocationBound: options.RevocationBound, Kinds: options.Kinds, FirstStart: options.FirstStart, Capacity: options.Capacity,
+		ConfigurationBound: options.ConfigurationBound, DrainBound: options.DrainBound,
+		EvacuationBound: options.EvacuationBound, StrictRevocation: options.StrictRevocation,
+		RevocationBound: options.RevocationBound,
+		Kinds:           options.Kinds, FirstStart: options.FirstStart, Capacity: options.Capacity,
 	}
 }
 
 func backendOptions(options *Options) backends.Options {
 	return backends.Options{
-		Name: options.Name, Zone: options.Zone, Life: options.Life, Regions: options.Regions, DrainBound: options.DrainBound, EvacuationBound: options.EvacuationBound,
-		ColdOverage: options.ColdOverage, ColdSlack: options.ColdSlack, FirstStart: options.FirstStart, Agreed: options.Agreed, MessageAddress: options.MessageAddress, Kinds: options.Kinds, Capacity: options.Capacity,
+		Name: options.Name, Zone: options.Zone, Life: options.Life, Regions: options.Regions,
+		DrainBound: options.DrainBound, EvacuationBound: options.EvacuationBound,
+		ColdOverage: options.ColdOverage, ColdSlack: options.ColdSlack, FirstStart: options.FirstStart,
+		Agreed: options.Agreed, MessageAddress: options.MessageAddress, Kinds: options.Kinds,
+		Capacity: options.Capacity,
 	}
 }
 
-// lookAtOneself is what the node looks at before it looks at the services.
-func (n *Node) lookAtOneself(now time.Time) {
-	n.lookIsolated(now)
-	n.lookDegraded(now)
-	n.lookAtQuotas()
+// checkSelf updates the node's own state before each evaluation of the services.
+func (n *Node) checkSelf(now time.Time) {
+	n.checkIsolated(now)
+	n.checkDegraded(now)
+	n.tickQuotas()
 }
 
-// Run serves until ctx ends; the node then stops as planned.
+// Run serves callers until ctx ends, and then performs a planned stop.
 func (n *Node) Run(ctx context.Context, listener net.Listener) error {
 	background, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -211,10 +220,10 @@
 	return nil
 }
 
-// Ready reports whether the node wants new callers.
+// Ready reports whether the node accepts new callers.
 func (n *Node) Ready() bool {
 	snapshot := n.catalog.Current()
-	return !n.Stopping.Load() && !n.secluded() && backends.Complete(snapshot)
+	return !n.Stopping.Load() && !n.impaired() && backends.Complete(snapshot)
 }
 
 func (n *Node) accept(listener net.Listener) {
@@ -235,19 +244,19 @@
 	}
 }
 
-// acceptPause is the pause after a connection could not be accepted, for
-// instance for want of descriptors.
+// acceptPause is the pause after a failed accept, for instance when no file descriptors are left.
 const acceptPause = 20 * time.Millisecond
 
-// duties is the node as its network sees it. With what Backends does it implements
-// network.Duties.
-type duties struct{ *Node }
+// networkDuties implements network.Duties on a Node, together with the methods of Backends.
+type networkDuties struct{ *Node }
 
 // MembersChanged implements network.Duties.
-func (d duties) MembersChanged() { d.fleetChanged() }
+func (d networkDuties) MembersChanged() { d.updateQuotaFleet() }
 
 // TakeShare implements network.Duties.
-func (d duties) TakeShare(listed bool, now time.Time) bool { return d.giveShare(listed, now) }
+func (d networkDuties) TakeShare(listed bool, now time.Time) bool {
+	return d.takeQuotaShare(listed, now)
+}
 
 // AwaitInformed implements network.Duties.
-func (d duties) AwaitInformed() { d.awaitInformed(time.Now()) }
+func (d networkDuties) AwaitInformed() { d.awaitConfiguration(time.Now()) }
--- a/internal/proxy/quotas.go
+++ b/internal/proxy/quotas.go
@@ -18,27 +18,28 @@
 )
 
 const (
-	// nodesPerAllocator is about how many nodes of a region share an allocator: each sends some
-	// datagrams a second.
+	// nodesPerAllocator is about how many nodes of a region share an allocator. Each node sends it
+	// some datagrams per second.
 	nodesPerAllocator = 24
-	// allocatorsRanked is how many nodes may stand in for an allocator.
-	allocatorsRanked = 3
-	// joinPause is how long a node that is new to the fleet has no share of its own: by
-	// then all others have looked at the members again, and count it.
-	joinPause = 3 * network.MemberLook / 2
-	// tokenShare is the part of the latency objective for which an operation may wait for a
-	// token; the rest is for what it asks.
-	tokenShare = 0.6
+	// allocatorCandidates is how many nodes may act as an allocator, in order of preference.
+	allocatorCandidates = 3
+	// joinDelay is how long a node that is new to the fleet has no share of its own. By then all
+	// other nodes have listed the members again and count it.
+	joinDelay = 3 * network.MemberLook / 2
+	// tokenWaitShare is the part of the latency objective for which an operation may wait for a
+	// token. The rest is left for running it.
+	tokenWaitShare = 0.6
 )
 
-// newQuotas returns the node's part in the quotas; nil if the deployment has none.
+// newQuotas returns the node's quota keeper; nil if quotas are disabled.
 func (n *Node) newQuotas() *quota.Keeper {
 	if n.options.Quotas.Window <= 0 || n.ports.Tokens == nil {
 		return nil
 	}
 	return quota.NewKeeper(quota.Config{
-		Node: n.options.Name, Address: n.options.TokenAddress, Life: backends.LifeNumber(n.options.Life), Started: n.started, Limits: n.limitOf,
-		OnHeldBack: n.logHeldBack,
+		Node: n.options.Name, Address: n.options.TokenAddress,
+		Life: backends.LifeNumber(n.options.Life), Started: n.started, Limits: n.limitOf,
+		OnHeldBack: n.logThrottled,
 	}, n.ports.Tokens)
 }
 
@@ -51,24 +52,24 @@
 	return configuration.Tenants[tenant].Quota
 }
 
-// limitOf returns how a tenant's tokens are minted; false if it has no quota.
+// limitOf returns how tokens of a tenant are issued; false if it has no quota.
 func (n *Node) limitOf(tenant string) (quota.Limit, bool) {
-	known := n.quotaOf(tenant)
-	if known == nil {
+	tenantQuota := n.quotaOf(tenant)
+	if tenantQuota == nil {
 		return quota.Limit{}, false
 	}
-	return n.options.Quotas.Limit(*known), true
+	return n.options.Quotas.Limit(*tenantQuota), true
 }
 
-// ReceiveTokens takes a message about tokens from the node at an address.
+// ReceiveTokens handles a message about quota tokens from the node at an address.
 func (n *Node) ReceiveTokens(from string, m *quota.Message) {
 	if n.quotas != nil {
 		n.quotas.Receive(from, m)
 	}
 }
 
-// lookAtQuotas renews what is delegated, while there are quotas.
-func (n *Node) lookAtQuotas() {
+// tickQuotas renews the delegation of the node's share, if any tenant has a quota.
+func (n *Node) tickQuotas() {
 	if n.quotas == nil {
 		return
 	}
@@ -77,39 +78,40 @@
 	}
 }
 
-// fleetChanged tells the quotas who the other nodes are.
-func (n *Node) fleetChanged() {
-	known := n.Members.Load()
-	if n.quotas == nil || known == nil {
+// updateQuotaFleet passes the current members to the quota keeper.
+func (n *Node) updateQuotaFleet() {
+	members := n.Members.Load()
+	if n.quotas == nil || members == nil {
 		return
 	}
-	own := n.OwnMember()
+	self := n.OwnMember()
 	byRegion := map[string][]network.Member{}
-	for _, member := range append([]network.Member{own}, *known...) {
+	for _, member := range append([]network.Member{self}, *members...) {
 		region := n.options.Regions[member.Zone]
 		byRegion[region] = append(byRegion[region], member)
 	}
-	home := n.options.Regions[n.options.Zone]
-	fleet := quota.Fleet{Nodes: len(*known) + 1, Home: allocatorsOf(byRegion[home])}
-	// What no other allocator of the region answers for, the node does itself.
+	homeRegion := n.options.Regions[n.options.Zone]
+	fleet := quota.Fleet{Nodes: len(*members) + 1, Home: allocatorsOf(byRegion[homeRegion])}
+	// The node itself is the last candidate for each allocator of its region.
 	for i := range fleet.Home.Allocators {
-		if !slices.Contains(fleet.Home.Allocators[i], own.Tokens) {
-			fleet.Home.Allocators[i] = append(fleet.Home.Allocators[i], own.Tokens)
+		if !slices.Contains(fleet.Home.Allocators[i], self.Tokens) {
+			fleet.Home.Allocators[i] = append(fleet.Home.Allocators[i], self.Tokens)
 		}
 	}
-	var others []placement.Candidate
+	var otherRegions []placement.Candidate
 	for region := range byRegion {
-		if region != home {
-			others = append(others, placement.Candidate{ID: region})
+		if region != homeRegion {
+			otherRegions = append(otherRegions, placement.Candidate{ID: region})
 		}
 	}
-	for _, region := range placement.Rank(n.options.Name, "", others, len(others)) {
+	for _, region := range placement.Rank(n.options.Name, "", otherRegions, len(otherRegions)) {
 		fleet.Far = append(fleet.Far, allocatorsOf(byRegion[region]))
 	}
 	n.quotas.SetFleet(fleet)
 }
 
-// allocatorsOf ranks the nodes of a region that may be its allocators, by part of the tenants.
+// allocatorsOf ranks the nodes of a region that may act as its allocators. Each allocator handles a
+// part of the tenants.
 func allocatorsOf(members []network.Member) quota.Region {
 	addresses := map[string]string{}
 	var candidates []placement.Candidate
@@ -125,48 +127,53 @@
 	parts := int(math.Ceil(float64(len(candidates)) / nodesPerAllocator))
 	region := quota.Region{Allocators: make([][]string, parts)}
 	for i := range parts {
-		for _, name := range placement.Rank(quotaKey(i), "", candidates, allocatorsRanked) {
+		for _, name := range placement.Rank(quotaKey(i), "", candidates, allocatorCandidates) {
 			region.Allocators[i] = append(region.Allocators[i], addresses[name])
 		}
 	}
 	return region
 }
 
-// quotaKey ranks the allocators of a part of the tenants.
-// Nodes of earlier versions rank by the same key.
+// quotaKey is the ranking key of a part's allocators. It must not change: nodes of different
+// versions have to rank alike.
 func quotaKey(part int) string { return "quota bank " + string(rune('a'+part)) }
 
-// giveShare gives the node its share of the quotas, once, and reports whether it has one.
-// Others count a node that was listed before it started, so its share is its own at once.
-// One that is new to a running fleet has none until they do. Of a fleet that starts for the
-// first time, a list is taken for whole that has not grown since the one before.
-func (n *Node) giveShare(listed bool, now time.Time) bool {
+// takeQuotaShare takes the node's share of the quotas once, and reports whether it has one. A node
+// that was listed before it started is already counted by the others, so it takes its share at
+// once. A node that is new to a running fleet waits until the others count it. While a fleet starts
+// for the first time, the list of members counts as complete once it has not grown since the
+// previous one.
+func (n *Node) takeQuotaShare(listed bool, now time.Time) bool {
 	if n.quotas == nil || n.hasShare {
 		return true
 	}
-	count, before := n.KnownMembers(), n.listedBefore
-	n.listedBefore = count
-	from := now
+	count, previous := n.KnownMembers(), n.previousMembers
+	n.previousMembers = count
+	validFrom := now
 	switch {
 	case listed:
 	case !n.options.FirstStart:
-		from = n.started.Add(joinPause)
-	case before == 0 || count != before:
+		validFrom = n.started.Add(joinDelay)
+	case previous == 0 || count != previous:
 		return false
 	}
 	n.hasShare = true
-	n.quotas.SetShare(from)
-	n.log.Write(eventlog.QuotaShare, zap.Int("nodes", n.KnownMembers()+1), zap.Bool("listed", listed), zap.Duration("in", from.Sub(now)))
+	n.quotas.SetShare(validFrom)
+	n.log.Write(eventlog.QuotaShare, zap.Int("nodes", n.KnownMembers()+1), zap.Bool("listed", listed),
+		zap.Duration("in", validFrom.Sub(now)))
 	return true
 }
 
-// tokenOutcomes are the values of the metric's label.
+// tokenOutcomes are the values of the outcome label.
 var tokenOutcomes = map[bool]string{true: "granted", false: "refused"}
 
-// logHeldBack writes that the node's allocator begins to hold less urgent work of a tenant
-// back, or has ended it.
-func (n *Node) logHeldBack(change quota.HeldBack) {
-	fields := []zap.Field{zap.String("tenant", change.Tenant), zap.Stringer("level", change.Level), zap.Bool("began", change.Began)}
+// logThrottled logs that the node's allocator begins or stops to throttle less urgent work of a
+// tenant.
+func (n *Node) logThrottled(change quota.HeldBack) {
+	fields := []zap.Field{
+		zap.String("tenant", change.Tenant), zap.Stringer("level", change.Level),
+		zap.Bool("began", change.Began),
+	}
 	if change.Began {
 		fields = append(fields, zap.Float64s("asked", change.Asked[:]), zap.Float64("minted", change.Minted))
 	} else {
@@ -175,8 +182,8 @@
 	n.log.Write(eventlog.QuotaHeldBack, fields...)
 }
 
-// charge takes a token of the tenant's quota for the operation that begins with the
-// statement, waiting a moment for one. The reply is final if it reports false.
+// charge takes a token of the tenant's quota for the operation that the statement begins, and waits
+// a moment for one if necessary. If it reports false, the reply is final.
 func (r *run) charge() (Reply, bool) {
 	n := r.session.node
 	if n.quotas == nil || r.session.principal == upstream.Own {
@@ -186,21 +193,21 @@
 	if n.quotaOf(tenant) == nil {
 		return Reply{}, true
 	}
-	deadline := r.arrived.Add(time.Duration(tokenShare * float64(r.session.bound.TargetLatency)))
+	deadline := r.arrived.Add(time.Duration(tokenWaitShare * float64(r.session.bound.TargetLatency)))
 	if r.deadline.Before(deadline) {
 		deadline = r.deadline
 	}
-	token, after, granted := n.quotas.Take(tenant, r.work.Level, deadline)
+	token, retryAfter, granted := n.quotas.Take(tenant, r.work.Level, deadline)
 	n.metrics.tokens.WithLabelValues(r.work.Level.String(), tokenOutcomes[granted]).Inc()
 	if !granted {
-		return r.session.fail(failure.Refuse(failure.OverQuota, spread(after))), false
+		return r.session.fail(failure.Refuse(failure.OverQuota, withJitter(retryAfter))), false
 	}
 	r.token, r.charged = token, true
 	return Reply{}, true
 }
 
-// recharge takes a token for another attempt, after one that may have run.
-func (r *run) recharge() bool {
+// chargeRetry takes another token for a retry after an attempt that may have run.
+func (r *run) chargeRetry() bool {
 	if !r.charged {
 		return true
 	}
@@ -211,8 +218,8 @@
 	return granted
 }
 
-// putBack returns the token of an operation that did not run.
-func (r *run) putBack() {
+// refund returns the token of an operation that did not run.
+func (r *run) refund() {
 	if r.charged {
 		r.charged = false
 		r.session.node.quotas.PutBack(r.token)
--- a/internal/proxy/read.go
+++ b/internal/proxy/read.go
@@ -14,16 +14,15 @@
 	"dewknot/internal/proxy/upstream"
 )
 
-// readCurrent runs a read that must see every acknowledged commit: in a
-// transaction that only the primary accepts, which proves that it was the
-// primary when the read ran.
+// readCurrent runs a read that must see every acknowledged commit. The read runs in a transaction
+// that only the primary accepts, which proves that the server was the primary at the time.
 func (r *run) readCurrent() Reply {
-	for r.goesOn() {
-		target, lease, reason := r.onLeader()
+	for r.mayAttempt() {
+		target, lease, reason := r.acquirePrimary()
 		if lease == nil {
 			return r.refuse(reason)
 		}
-		reply, final := r.provenRead(target, lease)
+		reply, final := r.readOnPrimary(target, lease)
 		if final {
 			return reply
 		}
@@ -31,8 +30,9 @@
 	return r.refuse(failure.Overloaded)
 }
 
-// provenRead makes one attempt on a connection to the primary.
-func (r *run) provenRead(target *backends.Server, lease *upstream.Lease) (Reply, bool) {
+// readOnPrimary makes one attempt on a connection to the primary. It reports whether the reply is
+// final.
+func (r *run) readOnPrimary(target *backends.Server, lease *upstream.Lease) (Reply, bool) {
 	deadline := r.readDeadline(target)
 	operations := append(lease.Adapt(r.session.values, r.statement), upstream.Operation{Kind: upstream.Begin})
 	batch := lease.Run(operations, deadline)
@@ -43,39 +43,40 @@
 	begin := batch.Last()
 	if !r.service.JudgeBegin(target, begin) {
 		lease.Settle(begin)
-		if r.starved(target, begin) {
+		if r.connectionRefused(target, begin) {
 			return r.refuse(failure.Overloaded), true
 		}
-		r.notRun(target, begin)
+		r.handleNotRun(target, begin)
 		return Reply{}, false
 	}
-	if r.service.Covered(r.held, time.Now()) {
+	if r.service.Covered(r.tenure, time.Now()) {
 		r.service.Proved(target, batch.SentAt, begin)
 	}
-	if !r.enter(target, lease, admission.OnlyHere) {
+	if !r.acquireSlot(target, lease, admission.OnlyHere) {
 		lease.RollBack()
 		return r.refuse(failure.Overloaded), true
 	}
-	batch = lease.Run([]upstream.Operation{r.operation(), {Kind: upstream.Rollback}}, r.slotDeadline(target, lease))
+	batch = lease.Run([]upstream.Operation{r.operation(), {Kind: upstream.Rollback}},
+		r.slotReadDeadline(target, lease))
 	arrived := time.Now()
-	r.leave(target, lease, admission.OnlyHere, &batch, batch.First())
+	r.releaseSlot(target, lease, admission.OnlyHere, &batch, batch.First())
 	if batch.Err != nil {
 		lease.Discard()
-		r.noAnswer()
+		r.markUnanswered()
 		return Reply{}, false
 	}
 	lease.Settle(batch.Last())
 	result := batch.First()
 	if result.Outcome.NotRun() {
-		if result.Outcome == upstream.Busy && r.noRoom(target, admission.OnlyHere) {
+		if result.Outcome == upstream.Busy && r.slotWaitOver(target, admission.OnlyHere) {
 			return r.refuse(failure.Overloaded), true
 		}
-		r.notRun(target, result)
+		r.handleNotRun(target, result)
 		return Reply{}, false
 	}
 	if result.Outcome == upstream.Succeeded {
-		if !r.service.Confirmed(r.held, arrived, r.deadline) {
-			r.noAnswer()
+		if !r.service.Confirmed(r.tenure, arrived, r.deadline) {
+			r.markUnanswered()
 			return Reply{}, false
 		}
 		r.service.Proved(target, batch.SentAt, result)
@@ -83,94 +84,95 @@
 	return r.answer(result), true
 }
 
-// slotDeadline is when a read that takes a slot, and has not been answered, is asked
-// elsewhere. At an owner the wait for the slot comes on top.
-func (r *run) slotDeadline(target *backends.Server, lease *upstream.Lease) time.Time {
+// slotReadDeadline is when a read that needs a slot is retried on another server if it got no
+// answer. Through an owner, it includes the wait for the slot.
+func (r *run) slotReadDeadline(target *backends.Server, lease *upstream.Lease) time.Time {
 	deadline := r.readDeadline(target)
 	if !lease.Remote() {
 		return deadline
 	}
-	if later := deadline.Add(time.Until(r.overload)); later.After(deadline) && later.Before(r.deadline) {
+	if later := deadline.Add(time.Until(r.queueDeadline)); later.After(deadline) && later.Before(r.deadline) {
 		return later
 	}
 	return deadline
 }
 
-// readDeadline is when a read that has not been answered is asked elsewhere.
+// readDeadline is when a read that got no answer is retried on another server.
 func (r *run) readDeadline(target *backends.Server) time.Time {
 	now := time.Now()
-	patience := max(silentRead, slowFactor*target.Stats.Latency(now))
-	if limit := now.Add(patience); limit.Before(r.deadline) {
+	timeout := max(minReadTimeout, readTimeoutFactor*target.Stats.Latency(now))
+	if limit := now.Add(timeout); limit.Before(r.deadline) {
 		return limit
 	}
 	return r.deadline
 }
 
-// read runs a read that may miss commits of the route's span, on whichever
-// server is expected to answer first and has what the read must see.
+// read runs a read that may miss recent commits, as far as the route's staleness allows. It runs on
+// the server that is expected to answer first among those that have the minimum position.
 func (r *run) read() Reply {
-	for r.goesOn() {
-		target, lease, floor := r.onAnyServer()
-		if lease == nil || !r.enter(target, lease, admission.Anywhere) {
+	for r.mayAttempt() {
+		target, lease, minimum := r.acquireReplica()
+		if lease == nil || !r.acquireSlot(target, lease, admission.Anywhere) {
 			if lease != nil {
 				lease.Return()
 			}
 			break
 		}
 		operation := r.operation()
-		operation.Floor = floor.Position
-		batch := lease.Run(append(lease.Adapt(r.session.values, r.statement), operation), r.slotDeadline(target, lease))
-		r.leave(target, lease, admission.Anywhere, &batch, batch.Last())
+		operation.Floor = minimum.Position
+		batch := lease.Run(append(lease.Adapt(r.session.values, r.statement), operation),
+			r.slotReadDeadline(target, lease))
+		r.releaseSlot(target, lease, admission.Anywhere, &batch, batch.Last())
 		if batch.Err != nil {
 			lease.Discard()
-			r.noAnswer()
+			r.markUnanswered()
 			r.markTried(target)
 			continue
 		}
 		result := batch.Last()
 		lease.Settle(result)
 		if !result.Outcome.NotRun() {
-			target.Stats.CaughtUp(time.Now(), floor.Since)
+			target.Stats.CaughtUp(time.Now(), minimum.Since)
 			return r.answer(result)
 		}
-		if r.starved(target, result) || r.givesUp(target, result, floor) {
+		if r.connectionRefused(target, result) || r.rejectsRead(target, result, minimum) {
 			break
 		}
-		r.readNotRun(target, result, floor)
+		r.handleReadNotRun(target, result, minimum)
 	}
 	return r.refuse(failure.Overloaded)
 }
 
-// onAnyServer lends a connection to the best server for what must be seen; nil
-// if there is none in time.
-func (r *run) onAnyServer() (*backends.Server, *upstream.Lease, freshness.Floor) {
-	for r.goesOn() {
-		floor, found := r.floor()
-		if r.session.node.Degraded.Load() || (!found && r.session.node.secluded()) {
+// acquireReplica acquires a connection to the best server, which may be the primary, for the read's
+// minimum position. The lease is nil if there is none in time.
+func (r *run) acquireReplica() (*backends.Server, *upstream.Lease, freshness.Floor) {
+	for r.mayAttempt() {
+		minimum, found := r.minimum()
+		if r.session.node.Degraded.Load() || (!found && r.session.node.impaired()) {
 			break
 		}
 		if !found && r.service.OutageOutlasts(time.Now(), r.deadline) {
-			r.unservable = failure.NoPrimary
+			r.unservableReason = failure.NoPrimary
 			break
 		}
 		if !found {
 			r.service.RefreshProof(r.deadline)
 			continue
 		}
-		r.session.account.floor = floor
-		target := r.choose(floor)
+		r.session.record.minimum = minimum
+		target := r.choose(minimum)
 		if target == nil {
 			if !r.servable() {
 				break
 			}
-			r.pause(behindPause)
+			r.pause(replicaRetryPause)
 			continue
 		}
-		if r.awaitReplica(target, floor) {
+		if r.awaitReplica(target, minimum) {
 			continue
 		}
-		if !r.admits(target, admission.Anywhere) {
-			if r.tried[target.ID] || !r.elsewhere(target, floor) {
+		if !r.passesEarlyCheck(target, admission.Anywhere) {
+			if r.tried[target.ID] || !r.otherServerFits(target, minimum) {
 				break
 			}
 			r.service.Count(r.work.Level, "sent_elsewhere")
@@ -179,9 +181,9 @@
 		}
 		lease, err := r.session.node.Lend(target, r.session.principal, r.connectionDeadline())
 		if err == nil {
-			return target, lease, floor
+			return target, lease, minimum
 		}
-		if errors.Is(err, upstream.ErrNoConnection) && r.lacksConnections(target) {
+		if errors.Is(err, upstream.ErrNoConnection) && r.connectionWaitOver(target) {
 			break
 		}
 		r.markTried(target)
@@ -189,19 +191,21 @@
 	return nil, nil, freshness.Floor{}
 }
 
-func (r *run) readNotRun(target *backends.Server, result *upstream.Result, floor freshness.Floor) {
+// handleReadNotRun records why a server did not run a read. It pauses if the server was tried
+// before.
+func (r *run) handleReadNotRun(target *backends.Server, result *upstream.Result, minimum freshness.Floor) {
 	now := time.Now()
 	switch result.Outcome {
 	case upstream.Busy:
-		target.Stats.Busied(now.Add(busyLife))
+		target.Stats.Busied(now.Add(busyAvoidance))
 	case upstream.Behind:
-		target.Stats.Lagged(now, floor.Since, result.Position)
-		r.foundBehind(target, result.Position, now)
+		target.Stats.Lagged(now, minimum.Since, result.Position)
+		r.recordLag(target, result.Position, now)
 	default:
 	}
 	if r.tried[target.ID] {
-		r.fruitless++
-		r.pause(min(behindPause<<r.fruitless, longestPause))
+		r.repeatAttempts++
+		r.pause(min(replicaRetryPause<<r.repeatAttempts, maxReplicaRetryPause))
 	}
 	r.markTried(target)
 }
@@ -213,30 +217,30 @@
 	r.tried[target.ID] = true
 }
 
-// proofRefreshShare is the part of the staleness bound after which a new proof
-// is asked for in the background, so that no read has to wait for one.
+// proofRefreshShare is the part of the staleness bound after which a new proof is requested in the
+// background, so that no read has to wait for one.
 const proofRefreshShare = 0.5
 
-// stalenessMargin is kept of the staleness bound for clocks that tick unevenly.
+// stalenessMargin is subtracted from the staleness bound to allow for clock drift.
 const stalenessMargin = 50 * time.Millisecond
 
-// floor returns what the read must see. Its span counts from the arrival, so a read that waits
-// for a replica does not ask for more meanwhile.
-func (r *run) floor() (freshness.Floor, bool) {
-	span := r.session.bound.MaxStaleness - stalenessMargin
+// minimum returns the minimum position of the read. The staleness counts from the arrival, so the
+// position doesn't grow while the read waits for a replica.
+func (r *run) minimum() (freshness.Floor, bool) {
+	maxAge := r.session.bound.MaxStaleness - stalenessMargin
 	now := time.Now()
-	if age := now.Sub(r.service.Proofs.Newest().At); age > time.Duration(proofRefreshShare*float64(span)) {
+	if age := now.Sub(r.service.Proofs.Newest().At); age > time.Duration(proofRefreshShare*float64(maxAge)) {
 		go r.service.RefreshProof(now.Add(backends.ProofLimit))
 	}
-	var own freshness.OwnCommit
+	var lastCommit freshness.OwnCommit
 	if r.session.bound.Freshness == catalog.ReadYourWrites {
-		own = r.session.own
+		lastCommit = r.session.lastCommit
 	}
-	return r.service.Proofs.Floor(r.arrived, span, own)
+	return r.service.Proofs.Floor(r.arrived, maxAge, lastCommit)
 }
 
 // choose returns the server to run the read; nil if there is none.
-func (r *run) choose(floor freshness.Floor) *backends.Server {
+func (r *run) choose(minimum freshness.Floor) *backends.Server {
 	now := time.Now()
 	node := r.session.node
 	leader := r.service.Belief.Leader()
@@ -253,8 +257,8 @@
 			SameRegion: node.options.Regions[entry.Zone] == node.options.Regions[node.options.Zone],
 			Primary:    entry.ID == leader,
 			Latency:    target.Stats.Latency(now), Way: target.Stats.Way(),
-			InFlight: target.Load(), Slots: entry.Slots, Wait: r.toldWait(target, now),
-			Covers:  target.Stats.Covers(floor.Position, floor.Since, now),
+			InFlight: target.Load(), Slots: entry.Slots, Wait: r.reportedWait(target, now),
+			Covers:  target.Stats.Covers(minimum.Position, minimum.Since, now),
 			Avoided: target.Stats.Avoided(now), Congested: target.Stats.Congested(now),
 			Leaving: entry.Leaving(), Tried: r.tried[entry.ID],
 		})
@@ -264,13 +268,13 @@
 	if chosen < 0 {
 		return nil
 	}
-	node.metrics.chose(&candidates[chosen])
+	node.metrics.countChosen(&candidates[chosen])
 	return servers[chosen]
 }
 
-// toldWait returns how long new work like this is expected to wait at a server's owner; 0 if
-// it has not lately told.
-func (r *run) toldWait(target *backends.Server, now time.Time) time.Duration {
+// reportedWait returns how long new work of this level is expected to wait at the server's owner; 0
+// without a recent report.
+func (r *run) reportedWait(target *backends.Server, now time.Time) time.Duration {
 	wait, _ := target.Wait(admission.Anywhere, r.work.Level, now)
 	return wait
 }
--- a/internal/proxy/run.go
+++ b/internal/proxy/run.go
@@ -16,57 +16,55 @@
 	"dewknot/internal/proxy/urgency"
 )
 
-// Times of a statement's way.
+// Times and limits of running a statement.
 const (
-	// answerMargin is kept of a statement's time-out for the answer's way back.
+	// answerMargin is reserved from a statement's timeout for sending the answer to the caller.
 	answerMargin = 30 * time.Millisecond
-	// busyLife is how long other requests avoid a server that refused for want of a slot.
-	busyLife = 25 * time.Millisecond
-	// behindPause is the first pause before servers that could not run a read
-	// are asked again; it doubles up to longestPause.
-	behindPause  = 10 * time.Millisecond
-	longestPause = 100 * time.Millisecond
-	// silentRead is the shortest time after which a read whose answer has not
-	// come is asked of another server; slowFactor times the expected latency is
-	// waited if that is longer.
-	silentRead = 400 * time.Millisecond
-	slowFactor = 6
-	// overloadShare is the part of the latency objective for which new work may
-	// wait for a slot before it is refused: short enough for the caller to come
-	// back within the objective.
-	overloadShare = 0.2
-	// warmingShare is the same, from its arrival, for new work that waits for a
-	// connection to a server to which connections are only being opened.
-	warmingShare = 0.5
+	// busyAvoidance is how long other requests avoid a server that answered that it has no free slot.
+	busyAvoidance = 25 * time.Millisecond
+	// replicaRetryPause is the first pause before a read is retried on servers that could not run it. It
+	// doubles up to maxReplicaRetryPause.
+	replicaRetryPause    = 10 * time.Millisecond
+	maxReplicaRetryPause = 100 * time.Millisecond
+	// A read without an answer is retried on another server after readTimeoutFactor times the expected
+	// latency, but not before minReadTimeout.
+	minReadTimeout    = 400 * time.Millisecond
+	readTimeoutFactor = 6
+	// slotWaitShare is the part of the latency objective for which new work may wait for a slot
+	// before it is rejected. The caller must still be able to retry within the objective.
+	slotWaitShare = 0.2
+	// warmingWaitShare is the part of the latency objective, counted from the arrival, for which new
+	// work may wait for a connection while the first connections to the server are being opened.
+	warmingWaitShare = 0.5
 )
 
-// run is one statement on its way.
+// run is the execution of one statement. It may take several attempts.
 type run struct {
 	session   *session
 	service   *backends.Service
 	statement *command.Statement
 	arrived   time.Time
 	deadline  time.Time
-	// work says how urgent the statement is.
+	// work describes the urgency of the statement.
 	work urgency.Work
-	// overload is when new work that waits for a slot is refused; it is zero
-	// until the work first waits for one.
-	overload time.Time
-	tried    map[string]bool
-	// held is the tenure under which the primary is asked.
-	held quorum.Tenure
-	// unanswered is set once an attempt was sent whose answer did not come, or was not
-	// believed: it may have run.
-	unanswered bool
-	// charged is set once the operation has taken a token of its tenant's quota; spent is
-	// set once an attempt may have used it up.
-	charged bool
-	spent   bool
-	token   quota.Token
-	// unservable is the reason why no server can run the statement, None while one may.
-	unservable failure.Kind
-	// fruitless counts attempts on servers that had already failed to run it.
-	fruitless int
+	// queueDeadline is when new work that is waiting for a slot is rejected. It is zero until the
+	// work first waits for a slot.
+	queueDeadline time.Time
+	tried         map[string]bool
+	// tenure is the tenure under which the primary is used.
+	tenure quorum.Tenure
+	// outcomeUnknown is set once an attempt got no answer, or one that was not confirmed. The statement
+	// may have run.
+	outcomeUnknown bool
+	// charged is set while the operation holds a token of its tenant's quota. tokenSpent is set
+	// once an attempt may have used the token up.
+	charged    bool
+	tokenSpent bool
+	token      quota.Token
+	// unservableReason is why no server can run the statement; None if one can.
+	unservableReason failure.Kind
+	// repeatAttempts counts attempts on servers that had already failed to run the statement.
+	repeatAttempts int
 }
 
 func (s *session) newRun(statement *command.Statement, arrived time.Time) *run {
@@ -76,76 +74,83 @@
 	return &run{
 		session: s, service: service, statement: statement, arrived: arrived, deadline: deadline,
 		work: urgency.Work{
-			Level: urgency.Of(s.bound.Priority), Arrived: arrived, Objective: arrived.Add(s.bound.TargetLatency), Deadline: deadline,
+			Level: urgency.Of(s.bound.Priority), Arrived: arrived,
+			Objective: arrived.Add(s.bound.TargetLatency), Deadline: deadline,
 		},
 	}
 }
 
 func (r *run) log() *eventlog.Log { return r.session.node.log }
 
-// goesOn reports whether another attempt may be made. After one that may have run, it
-// takes a token of its own.
-func (r *run) goesOn() bool {
+// mayAttempt reports whether there is time for another attempt. After an attempt that may have run,
+// the next one needs a token of its own.
+func (r *run) mayAttempt() bool {
 	if !time.Now().Before(r.deadline) {
 		return false
 	}
-	if r.spent {
-		r.spent = false
-		return r.recharge()
+	if r.tokenSpent {
+		r.tokenSpent = false
+		return r.chargeRetry()
 	}
 	return true
 }
 
-// noAnswer notes that an attempt may have run, of which no answer was delivered.
-func (r *run) noAnswer() { r.unanswered, r.spent = true, true }
+// markUnanswered notes that an attempt whose answer can't be used may have run.
+func (r *run) markUnanswered() { r.outcomeUnknown, r.tokenSpent = true, true }
 
-// enter waits for leave to run on a server. Work of an open transaction may
-// wait until the statement's deadline, new work until it counts as refused for
-// overload.
-func (r *run) enter(target *backends.Server, lease *upstream.Lease, class admission.Class) bool {
-	if r.overload.IsZero() {
-		r.overload = time.Now().Add(time.Duration(overloadShare * float64(r.session.bound.TargetLatency)))
+// acquireSlot waits for a slot of the server and reports whether there is one. The work of an open
+// transaction may wait until the statement's deadline, new work until queueDeadline. If the
+// connection leads through another node, the wait happens there.
+func (r *run) acquireSlot(target *backends.Server, lease *upstream.Lease, class admission.Class) bool {
+	if r.queueDeadline.IsZero() {
+		r.queueDeadline = time.Now().Add(time.Duration(slotWaitShare * float64(r.session.bound.TargetLatency)))
 	}
-	deadline := r.overload
+	deadline := r.queueDeadline
 	if class == admission.Continuation || r.deadline.Before(deadline) {
 		deadline = r.deadline
 	}
 	now := time.Now()
-	place := admission.Request{
-		Class: class, Priority: r.session.bound.Priority, Arrived: r.arrived, Late: r.late(now), Principal: string(r.session.principal), Holds: true,
+	request := admission.Request{
+		Class: class, Priority: r.session.bound.Priority, Arrived: r.arrived, Late: r.late(now),
+		Principal: string(r.session.principal), Holds: true,
 	}
 	if !lease.Remote() {
-		if wait := target.Gate.Wait(place); class != admission.Continuation && (r.hopeless(wait) || admission.Overfull(wait, deadline.Sub(now))) {
+		if wait := target.Gate.Wait(request); class != admission.Continuation &&
+			(r.cannotFinishInTime(wait) || admission.Overfull(wait, deadline.Sub(now))) {
 			return false
 		}
-		return r.session.node.Admit(target, place, deadline)
+		return r.session.node.Admit(target, request, deadline)
 	}
-	if session, queues := lease.Connection.(queuer); queues {
+	if connection, queues := lease.Connection.(queuer); queues {
 		age := now.Sub(r.arrived)
-		if place.Late {
+		if request.Late {
 			age -= admission.LateDelay
 		}
-		session.Queue(remote.Ticket{Class: class, Priority: place.Priority, Age: age, Wait: deadline.Sub(now)})
+		connection.Queue(remote.Ticket{
+			Class: class, Priority: request.Priority, Age: age, Wait: deadline.Sub(now),
+		})
 	}
 	target.Remote.Add(1)
 	return true
 }
 
-// queuer is a connection whose operations wait at another node.
+// queuer is a connection through another node, where its operations wait for a slot.
 type queuer interface {
 	Queue(ticket remote.Ticket)
 }
 
-// late reports whether the objective of the work has passed.
+// late reports whether the latency objective has passed.
 func (r *run) late(now time.Time) bool {
 	work := r.urgentWork()
 	return work.Late(now)
 }
 
-// leave ends work of a class that was let in.
-func (r *run) leave(target *backends.Server, lease *upstream.Lease, class admission.Class, batch *upstream.Batch, result *upstream.Result) {
-	r.session.account.tried(target, target.ID == r.service.Belief.Leader())
-	r.session.node.metrics.refused(result)
+// releaseSlot frees the slot that acquireSlot got, and records the outcome of the attempt.
+func (r *run) releaseSlot(target *backends.Server, lease *upstream.Lease, class admission.Class,
+	batch *upstream.Batch, result *upstream.Result,
+) {
+	r.session.record.addAttempt(target, target.ID == r.service.Belief.Leader())
+	r.session.node.metrics.countNotRun(result)
 	if lease.Remote() {
 		target.Remote.Add(-1)
 		return
@@ -153,39 +158,39 @@
 	target.Gate.Leave(class, backends.EndOf(batch, result), time.Now())
 }
 
-// starved reports whether new work has waited for a connection of the server's
-// owner as long as it may.
-func (r *run) starved(target *backends.Server, result *upstream.Result) bool {
-	return result.Outcome == upstream.NoConnection && r.lacksConnections(target)
+// connectionRefused reports whether the server's owner had no connection for new work, and the work
+// has waited for one as long as it may.
+func (r *run) connectionRefused(target *backends.Server, result *upstream.Result) bool {
+	return result.Outcome == upstream.NoConnection && r.connectionWaitOver(target)
 }
 
-// pause waits, but not past the deadline.
-func (r *run) pause(span time.Duration) {
-	if left := time.Until(r.deadline); span > left {
-		span = left
+// pause sleeps, but not past the deadline.
+func (r *run) pause(duration time.Duration) {
+	if left := time.Until(r.deadline); duration > left {
+		duration = left
 	}
-	if span > 0 {
-		time.Sleep(span)
+	if duration > 0 {
+		time.Sleep(duration)
 	}
 }
 
-// refuse ends the statement without a result. That it was not run is said only if no
-// attempt was left without an answer.
+// refuse fails the statement. The answer promises that the statement did not run only if every
+// attempt was answered.
 func (r *run) refuse(kind failure.Kind) Reply {
-	if r.unanswered {
+	if r.outcomeUnknown {
 		return r.session.fail(failure.New(failure.OutcomeUnknown, ""))
 	}
-	r.putBack()
-	if r.unservable != failure.None {
-		kind = r.unservable
+	r.refund()
+	if r.unservableReason != failure.None {
+		kind = r.unservableReason
 	}
 	if kind == failure.Overloaded {
-		r.turnAway()
+		r.recordRejection()
 	}
-	return r.session.fail(failure.Refuse(kind, r.comeBack(kind)))
+	return r.session.fail(failure.Refuse(kind, r.retryAfter(kind)))
 }
 
-// answer turns the result of a statement that ran, or failed for good, into a reply.
+// answer converts the result of a statement that ran, or failed permanently, to a reply.
 func (r *run) answer(result *upstream.Result) Reply {
 	switch result.Outcome {
 	case upstream.Succeeded:
@@ -199,8 +204,8 @@
 	}
 }
 
-// awaitLeader waits a moment for a primary to be known.
-func (r *run) awaitLeader() {
+// awaitPrimary waits a moment for a primary to become known.
+func (r *run) awaitPrimary() {
 	changed := r.service.Belief.Changed()
 	if r.service.Leader(time.Now()) != nil {
 		r.pause(backends.BusyPause)
@@ -218,88 +223,90 @@
 	}
 }
 
-// onLeader lends a connection to the primary. If there is none in time, it
-// returns the reason: no primary can be reached, or its connections are in use.
-func (r *run) onLeader() (*backends.Server, *upstream.Lease, failure.Kind) {
-	for time.Now().Before(r.deadline) && !r.session.node.secluded() {
+// acquirePrimary acquires a connection to the primary. If none is available in time, it returns the
+// reason: no primary can be reached, or its connections are in use.
+func (r *run) acquirePrimary() (*backends.Server, *upstream.Lease, failure.Kind) {
+	for time.Now().Before(r.deadline) && !r.session.node.impaired() {
 		now := time.Now()
 		target := r.service.Leader(now)
-		if !r.servable() || (target != nil && !r.atHome(target)) {
-			return nil, nil, r.unservable
+		if !r.servable() || (target != nil && !r.inHomes(target)) {
+			return nil, nil, r.unservableReason
 		}
 		if target == nil && r.service.OutageOutlasts(now, r.deadline) {
 			return nil, nil, failure.NoPrimary
 		}
 		if target == nil || target.Stats.Avoided(now) {
-			r.awaitLeader()
+			r.awaitPrimary()
 			continue
 		}
-		held, holds := r.service.Hold(target.ID)
-		if !holds {
-			r.awaitLeader()
+		tenure, usable := r.service.Hold(target.ID)
+		if !usable {
+			r.awaitPrimary()
 			continue
 		}
-		r.held = held
-		if !r.admits(target, admission.OnlyHere) {
+		r.tenure = tenure
+		if !r.passesEarlyCheck(target, admission.OnlyHere) {
 			return nil, nil, failure.Overloaded
 		}
 		lease, err := r.session.node.Lend(target, r.session.principal, r.connectionDeadline())
 		if err == nil {
 			return target, lease, failure.None
 		}
-		if errors.Is(err, upstream.ErrNoConnection) && r.lacksConnections(target) {
-			r.session.account.room.rule = noConnection
+		if errors.Is(err, upstream.ErrNoConnection) && r.connectionWaitOver(target) {
+			r.session.record.headroom.rule = ruleNoConnection
 			return nil, nil, failure.Overloaded
 		}
-		r.awaitLeader()
+		r.awaitPrimary()
 	}
 	return nil, nil, failure.NoPrimary
 }
 
-// servable reports whether any server stays that may run the statement. If not, it notes why:
-// a caller who waits would wait in vain.
+// servable reports whether any server may run the statement. If none may, it sets unservableReason,
+// because waiting would not help.
 func (r *run) servable() bool {
 	now := time.Now()
 	if r.service.Servable(now, r.session.homes...) {
 		return true
 	}
-	r.unservable = failure.NoServer
+	r.unservableReason = failure.NoServer
 	if r.service.Servable(now) {
-		r.unservable = failure.OutsideHomes
+		r.unservableReason = failure.OutsideHomes
 	}
 	return false
 }
 
-// atHome reports whether the statement may go to a server's region, and notes it if not.
-func (r *run) atHome(target *backends.Server) bool {
+// inHomes reports whether the session's homes allow the server's zone. If they don't, it sets
+// unservableReason.
+func (r *run) inHomes(target *backends.Server) bool {
 	entry := r.session.node.catalog.Current().Servers[target.ID]
 	if entry == nil || r.session.node.Allows(entry.Zone, r.session.homes...) {
 		return true
 	}
-	r.unservable = failure.OutsideHomes
+	r.unservableReason = failure.OutsideHomes
 	return false
 }
 
-// lacksConnections reports whether new work has waited for a connection as long
-// as it may.
-func (r *run) lacksConnections(target *backends.Server) bool {
+// connectionWaitOver reports whether new work has waited for a connection as long as it may.
+func (r *run) connectionWaitOver(target *backends.Server) bool {
 	now := time.Now()
 	if target.Stats.Unanswered(now) >= backends.ConnectionWait {
-		// The server says nothing at all: it is not overloaded, it is out of reach.
+		// A server that answers nothing is unreachable, not overloaded.
 		return false
 	}
-	share := overloadShare
+	share := slotWaitShare
 	if target.Pool.Warming(now) {
-		share = warmingShare
+		share = warmingWaitShare
 	}
 	return now.Sub(r.arrived) >= time.Duration(share*float64(r.session.bound.TargetLatency))
 }
 
-// overloaded reports whether new work has waited for a slot as long as it may.
-func (r *run) overloaded() bool { return !time.Now().Before(r.overload) }
+// queueTimedOut reports whether new work has waited for a slot as long as it may.
+func (r *run) queueTimedOut() bool { return !time.Now().Before(r.queueDeadline) }
 
 func (r *run) operation() upstream.Operation {
-	return upstream.Operation{Kind: upstream.RunStatement, RequestID: r.statement.RequestID, Statement: r.statement}
+	return upstream.Operation{
+		Kind: upstream.RunStatement, RequestID: r.statement.RequestID, Statement: r.statement,
+	}
 }
 
 func (r *run) connectionDeadline() time.Time {
--- a/internal/proxy/session.go
+++ b/internal/proxy/session.go
@@ -17,33 +17,34 @@
 // ErrIdle is returned by Client.ReadCommand when no command began in time.
 var ErrIdle = errors.New("no command began before the deadline; read again or close")
 
-// startLimit bounds the wait for the first message of a session.
-const startLimit = 5 * time.Second
+// startMessageTimeout bounds the wait for the first message of a session.
+const startMessageTimeout = 5 * time.Second
 
-// session is one caller's session.
+// session is a session of one caller.
 type session struct {
 	node     *Node
 	client   Client
 	database string
 	key      catalog.KeyDigest
-	// principal is in whose name the session's work runs; it changes with the route.
+	// principal is the tenant for which the work runs. It may change when the route does.
 	principal upstream.Principal
-	// bound is the route of the session; it changes between transactions only.
+	// bound is the session's route. It changes between transactions only.
 	bound catalog.Route
-	// homes are where the session's work may go, of its route and its tenant.
+	// homes are the homes of the route and of the tenant. Work may only go to zones that all of
+	// them allow.
 	homes    []catalog.Homes
 	values   map[string]string
 	prepared map[string]command.PreparedStatement
-	// own is the session's newest commit.
-	own         freshness.OwnCommit
+	// lastCommit is the session's newest commit.
+	lastCommit  freshness.OwnCommit
 	transaction *transaction
-	// account tells how the present command was served.
-	account account
-	// ended is a transaction whose rollback the caller does not wait for.
-	ended *transaction
+	// record describes how the current command was served.
+	record commandRecord
+	// pendingRollback is a transaction that is rolled back after the reply was sent.
+	pendingRollback *transaction
 }
 
-// serve runs a session until its end.
+// serve runs a session until it ends.
 func (n *Node) serve(client Client) {
 	defer client.Close()
 	s := &session{node: n, client: client}
@@ -62,7 +63,7 @@
 }
 
 func (s *session) start() bool {
-	start, err := s.client.ReadStart(time.Now().Add(startLimit))
+	start, err := s.client.ReadStart(time.Now().Add(startMessageTimeout))
 	if err != nil {
 		if failed, ok := failure.As(err); ok {
 			_ = s.client.Refuse(failed)
@@ -70,15 +71,17 @@
 		return false
 	}
 	s.database, s.key = start.Database, start.Key
-	s.node.awaitInformed(time.Now())
+	s.node.awaitConfiguration(time.Now())
 	refusal := s.bind()
 	if refusal != nil && refusal.Kind == failure.UnknownKey {
 		s.node.SeekNewer(time.Now())
 		refusal = s.bind()
 	}
 	if refusal != nil {
-		s.node.log.Write(eventlog.SessionRefused, zap.String("database", s.database), zap.Stringer("outcome", refusal.Kind),
-			zap.String("detail", refusal.FullDetail()), zap.Uint64("configuration", s.node.configurationVersion()))
+		s.node.log.Write(eventlog.SessionRefused, zap.String("database", s.database),
+			zap.Stringer("outcome", refusal.Kind),
+			zap.String("detail", refusal.FullDetail()),
+			zap.Uint64("configuration", s.node.configurationVersion()))
 		_ = s.client.Refuse(refusal)
 		return false
 	}
@@ -86,7 +89,7 @@
 	return s.client.Accept() == nil
 }
 
-// bind looks up the route that is in force now, and the tenant that the caller works for.
+// bind looks up the current route and the caller's tenant.
 func (s *session) bind() *failure.Error {
 	configuration := s.node.catalog.Current().Configuration
 	if configuration == nil {
@@ -101,7 +104,10 @@
 		return failure.New(failure.UnknownKey, "")
 	}
 	if access == catalog.Identified && !route.Public && s.node.KeysUncertain(time.Now()) {
-		return &failure.Error{Kind: failure.Isolated, Detail: "which keys are in force is not known", RetryAfter: spread(uncertainPause)}
+		return &failure.Error{
+			Kind: failure.Isolated, Detail: "which keys are in force is not known",
+			RetryAfter: withJitter(uncertainKeysRetry),
+		}
 	}
 	s.bound, s.principal = route, upstream.Principal(tenant)
 	s.homes = nil
@@ -111,27 +117,27 @@
 	return nil
 }
 
-// uncertainPause is when to come back to a node that does not know which keys are in force:
-// about as long as a search for the store takes.
-const uncertainPause = 500 * time.Millisecond
+// uncertainKeysRetry is the retry delay for callers of a node that doesn't know the valid keys.
+// Finding the store takes about as long.
+const uncertainKeysRetry = 500 * time.Millisecond
 
-// revoked reports whether the key that the open transaction began with no longer is the
-// tenant's.
-func (s *session) revoked() bool {
+// keyRevoked reports whether the caller's key no longer belongs to the tenant that began the open
+// transaction.
+func (s *session) keyRevoked() bool {
 	configuration := s.node.catalog.Current().Configuration
 	tenant, access := configuration.Identify(&s.bound, s.key)
 	return access == catalog.Denied || upstream.Principal(tenant) != s.principal
 }
 
-// next serves one command and reports whether the session goes on.
+// next serves one command and reports whether the session continues.
 func (s *session) next() bool {
 	received, err := s.client.ReadCommand(s.idleDeadline())
-	if errors.Is(err, ErrIdle) && s.closes() {
+	if errors.Is(err, ErrIdle) && s.shouldClose() {
 		if s.node.aborting.Load() {
 			return false
 		}
-		// A command may have come while the last one was served.
-		received, err = s.client.ReadCommand(time.Now().Add(lastLook))
+		// A command may have arrived while the previous one was served.
+		received, err = s.client.ReadCommand(time.Now().Add(finalReadTimeout))
 		if errors.Is(err, ErrIdle) {
 			return false
 		}
@@ -139,7 +145,7 @@
 	switch {
 	case err == nil:
 	case errors.Is(err, ErrIdle):
-		s.idled()
+		s.endIdleTransaction()
 		return true
 	default:
 		if failed, ok := failure.As(err); ok {
@@ -148,7 +154,7 @@
 		return false
 	}
 	arrived := time.Now()
-	s.account = account{}
+	s.record = commandRecord{}
 	reply := s.handle(&received, arrived)
 	s.report(&received, &reply, arrived)
 	if err := s.client.Reply(reply); err != nil {
@@ -158,31 +164,32 @@
 	return reply.Failure == nil || !reply.Failure.Kind.Fatal()
 }
 
-// idleDeadline is when a resting transaction may be ended; zero without one.
+// idleDeadline is when an open transaction without a command is rolled back; zero if no transaction
+// is open.
 func (s *session) idleDeadline() time.Time {
 	if s.transaction == nil || s.transaction.lease == nil {
 		return time.Time{}
 	}
-	limit := s.node.catalog.Current().Configuration.TransactionIdle
-	if limit <= 0 {
+	timeout := s.node.catalog.Current().Configuration.TransactionIdle
+	if timeout <= 0 {
 		return time.Time{}
 	}
-	return time.Now().Add(limit)
+	return time.Now().Add(timeout)
 }
 
-// lastLook is how long a session that is about to be closed is read once more.
-const lastLook = 3 * time.Millisecond
+// finalReadTimeout bounds the last read of a session that is about to be closed.
+const finalReadTimeout = 3 * time.Millisecond
 
-// closes reports whether the session is to be closed, and nothing of it would be
-// lost.
-func (s *session) closes() bool {
-	leaves := s.node.closing.Load() || s.node.secluded()
-	return leaves && (s.transaction == nil || s.node.aborting.Load())
+// shouldClose reports whether the session should be closed now. An open transaction delays that
+// until the node rolls transactions back.
+func (s *session) shouldClose() bool {
+	leaving := s.node.closing.Load() || s.node.impaired()
+	return leaving && (s.transaction == nil || s.node.aborting.Load())
 }
 
-// idled ends a transaction that has rested too long.
-func (s *session) idled() {
-	if s.transaction != nil && s.transaction.lease != nil && !s.node.closing.Load() && !s.node.secluded() {
+// endIdleTransaction rolls back a transaction that has been idle too long.
+func (s *session) endIdleTransaction() {
+	if s.transaction != nil && s.transaction.lease != nil && !s.node.closing.Load() && !s.node.impaired() {
 		s.transaction.fail(s, "idle")
 	}
 }
@@ -198,7 +205,7 @@
 	}
 }
 
-// abandon rolls back what the caller has left open.
+// abandon rolls back the open transaction when the session ends.
 func (s *session) abandon() {
 	if s.transaction != nil {
 		s.transaction.end()
@@ -206,19 +213,19 @@
 	}
 }
 
-// handle runs a command that arrived at a time and returns its answer.
+// handle runs a command and returns the reply.
 func (s *session) handle(received *command.Command, arrived time.Time) Reply {
-	ends := received.Kind == command.Commit || received.Kind == command.Rollback
+	endsTransaction := received.Kind == command.Commit || received.Kind == command.Rollback
 	if s.transaction == nil {
 		if refusal := s.bind(); refusal != nil {
 			return s.fail(refusal)
 		}
-	} else if !s.transaction.failed && s.revoked() {
-		s.transaction.fail(s, "key taken away")
-		if !ends {
+	} else if !s.transaction.failed && s.keyRevoked() {
+		s.transaction.fail(s, "key revoked")
+		if !endsTransaction {
 			return s.fail(failure.New(failure.TransactionLost, "the key was taken away"))
 		}
-	} else if s.transaction.failed && !ends {
+	} else if s.transaction.failed && !endsTransaction {
 		return s.fail(failure.New(failure.FailedTransaction, ""))
 	}
 	switch received.Kind {
@@ -247,7 +254,7 @@
 
 func (s *session) done() Reply { return Reply{State: s.state()} }
 
-// The bounds of what a session may keep at a node.
+// Limits of the state that a node keeps for a session.
 const (
 	maxSessionValues      = 256
 	maxPreparedStatements = 1024
@@ -257,7 +264,7 @@
 	if s.values == nil {
 		s.values = map[string]string{}
 	}
-	if _, known := s.values[received.Name]; !known && len(s.values) >= maxSessionValues {
+	if _, exists := s.values[received.Name]; !exists && len(s.values) >= maxSessionValues {
 		return s.fail(failure.New(failure.TooManyValues, received.Name))
 	}
 	s.values[received.Name] = received.Value
@@ -268,7 +275,7 @@
 	if s.prepared == nil {
 		s.prepared = map[string]command.PreparedStatement{}
 	}
-	if _, known := s.prepared[received.Name]; !known && len(s.prepared) >= maxPreparedStatements {
+	if _, exists := s.prepared[received.Name]; !exists && len(s.prepared) >= maxPreparedStatements {
 		return s.fail(failure.New(failure.TooManyValues, received.Name))
 	}
 	s.prepared[received.Name] = received.Statement
@@ -283,7 +290,7 @@
 	return s.done()
 }
 
-// statement runs a read or write, inside the transaction if one is open.
+// statement runs a read or a write, inside the transaction if one is open.
 func (s *session) statement(received *command.Command, arrived time.Time) Reply {
 	statement := command.Statement{
 		RequestID: received.RequestID, Text: received.Text, Writes: received.Kind == command.Write,
--- a/internal/proxy/stop.go
+++ b/internal/proxy/stop.go
@@ -9,21 +9,21 @@
 	"dewknot/internal/base/eventlog"
 )
 
-// Parts of the grace of a planned stop.
+// Parts of the grace period at which the phases of a planned stop end.
 const (
-	// routedAwayShare is the part after which no new caller should come any
-	// more, since the node calls itself not ready from the start.
+	// routedAwayShare is when callers have noticed that the node is not ready. The node then closes
+	// its listener and its idle sessions.
 	routedAwayShare = 0.4
-	// abortShare is the part after which open transactions are rolled back.
+	// abortShare is when open transactions are rolled back.
 	abortShare = 0.65
-	// exitShare is the part after which the process ends whatever is left.
+	// exitShare is when the process exits, even if sessions are left.
 	exitShare = 0.85
-	// stopLook is the pause between looks at the sessions left.
-	stopLook = 50 * time.Millisecond
+	// stopPollInterval is the pause between checks of the remaining sessions.
+	stopPollInterval = 50 * time.Millisecond
 )
 
-// stop ends the node as planned: it is no longer ready at once, goes on serving
-// until callers are led elsewhere, then closes sessions as they become idle.
+// stop performs a planned stop. The node is not ready from the start, but serves until new callers
+// go elsewhere. It then closes sessions as they become idle.
 func (n *Node) stop(listener net.Listener) {
 	began := time.Now()
 	n.Stopping.Store(true)
@@ -32,18 +32,18 @@
 		n.quotas.Leave()
 	}
 	n.log.Write(eventlog.NodeStopping, zap.Int64("sessions", n.sessionCount.Load()))
-	part := func(share float64) time.Time {
+	phaseEnd := func(share float64) time.Time {
 		return began.Add(time.Duration(share * float64(n.options.StopGrace)))
 	}
-	time.Sleep(time.Until(part(routedAwayShare)))
+	time.Sleep(time.Until(phaseEnd(routedAwayShare)))
 	n.closing.Store(true)
 	_ = listener.Close()
-	for (n.sessionCount.Load() > 0 || n.Owner.Active() > 0) && time.Now().Before(part(exitShare)) {
-		if time.Now().After(part(abortShare)) {
+	for (n.sessionCount.Load() > 0 || n.Owner.Active() > 0) && time.Now().Before(phaseEnd(exitShare)) {
+		if time.Now().After(phaseEnd(abortShare)) {
 			n.aborting.Store(true)
 		}
 		n.interruptSessions()
-		time.Sleep(stopLook)
+		time.Sleep(stopPollInterval)
 	}
 	n.log.Write(eventlog.NodeStopped, zap.Int64("sessions", n.sessionCount.Load()),
 		zap.Int("others_sessions", int(n.Owner.Active())), zap.Duration("took", time.Since(began)))
--- a/internal/proxy/tenant_metrics.go
+++ b/internal/proxy/tenant_metrics.go
@@ -12,15 +12,14 @@
 	"dewknot/internal/proxy/network"
 )
 
-// shownTenants is how many tenants have series of their own: those that asked most since
-// the node's start. The rest are counted together, so that ten thousand tenants don't make
-// ten thousand series.
+// shownTenants is how many tenants have series of their own: those with the most commands since the
+// node started. All others share one label, which bounds the number of series.
 const shownTenants = 20
 
-// otherTenants is the label of the rest.
+// otherTenants is the label for all other tenants.
 const otherTenants = "others"
 
-// tenantCounters count a tenant's commands by their outcome.
+// tenantCounters count a tenant's commands by outcome.
 type tenantCounters struct {
 	served, overQuota, failed atomic.Int64
 }
@@ -29,8 +28,7 @@
 	return c.served.Load() + c.overQuota.Load() + c.failed.Load()
 }
 
-// tenantCollector collects what the most active tenants' callers were told. It implements
-// prometheus.Collector.
+// tenantCollector collects the outcomes of commands by tenant. It implements prometheus.Collector.
 type tenantCollector struct {
 	tenants  sync.Map // tenant name to *tenantCounters
 	commands *prometheus.Desc
@@ -39,17 +37,18 @@
 func newTenantCollector() *tenantCollector {
 	return &tenantCollector{commands: prometheus.NewDesc(
 		prometheus.BuildFQName(network.MetricsNamespace, "", "tenant_commands_total"),
-		"Commands of the tenants that asked most, and of all others together, by outcome.", []string{"tenant", "outcome"}, nil,
+		"Commands of the tenants that asked most, and of all others together, by outcome.",
+		[]string{"tenant", "outcome"}, nil,
 	)}
 }
 
-// count counts a command of a tenant; kind is None if it was served.
+// count counts a command of a tenant. The kind is None if the command was served.
 func (c *tenantCollector) count(tenant string, kind failure.Kind) {
-	found, known := c.tenants.Load(tenant)
-	if !known {
-		found, _ = c.tenants.LoadOrStore(tenant, new(tenantCounters))
+	value, loaded := c.tenants.Load(tenant)
+	if !loaded {
+		value, _ = c.tenants.LoadOrStore(tenant, new(tenantCounters))
 	}
-	counters := found.(*tenantCounters)
+	counters := value.(*tenantCounters)
 	switch kind {
 	case failure.None:
 		counters.served.Add(1)
@@ -74,16 +73,18 @@
 		rows = append(rows, row{tenant.(string), counters.(*tenantCounters)})
 		return true
 	})
-	slices.SortFunc(rows, func(x, y row) int { return cmp.Or(cmp.Compare(y.total(), x.total()), cmp.Compare(x.tenant, y.tenant)) })
+	slices.SortFunc(rows, func(x, y row) int {
+		return cmp.Or(cmp.Compare(y.total(), x.total()), cmp.Compare(x.tenant, y.tenant))
+	})
 	rest := new(tenantCounters)
-	for i, each := range rows {
+	for i, entry := range rows {
 		if i < shownTenants {
-			c.send(metrics, each.tenant, each.tenantCounters)
+			c.send(metrics, entry.tenant, entry.tenantCounters)
 			continue
 		}
-		rest.served.Add(each.served.Load())
-		rest.overQuota.Add(each.overQuota.Load())
-		rest.failed.Add(each.failed.Load())
+		rest.served.Add(entry.served.Load())
+		rest.overQuota.Add(entry.overQuota.Load())
+		rest.failed.Add(entry.failed.Load())
 	}
 	if len(rows) > shownTenants {
 		c.send(metrics, otherTenants, rest)
@@ -92,8 +93,10 @@
 
 func (c *tenantCollector) send(metrics chan<- prometheus.Metric, tenant string, counters *tenantCounters) {
 	for outcome, value := range map[string]int64{
-		"served": counters.served.Load(), failure.OverQuota.String(): counters.overQuota.Load(), "failed": counters.failed.Load(),
+		"served": counters.served.Load(), failure.OverQuota.String(): counters.overQuota.Load(),
+		"failed": counters.failed.Load(),
 	} {
-		metrics <- prometheus.MustNewConstMetric(c.commands, prometheus.CounterValue, float64(value), tenant, outcome)
+		metrics <- prometheus.MustNewConstMetric(c.commands, prometheus.CounterValue, float64(value),
+			tenant, outcome)
 	}
 }
--- a/internal/proxy/transaction.go
+++ b/internal/proxy/transaction.go
@@ -15,19 +15,19 @@
 	"dewknot/internal/proxy/upstream"
 )
 
-// transaction is a caller's open transaction. It takes a connection with its
-// first statement and keeps it until its end.
+// transaction is a caller's open transaction. It acquires a connection with its first statement and
+// keeps it until its end.
 type transaction struct {
 	readOnly bool
-	// server and lease are set from the first statement on.
+	// server and lease are set by the first statement.
 	server *backends.Server
 	lease  *upstream.Lease
-	// proven is set if the server accepted the transaction as the primary, held is the
-	// tenure under which it was asked.
-	proven bool
-	held   quorum.Tenure
-	wrote  bool
-	// failed transactions have left nothing behind and await their end.
+	// onPrimary is set if the server accepted the transaction as the primary, and tenure is the
+	// tenure under which it did.
+	onPrimary bool
+	tenure    quorum.Tenure
+	wrote     bool
+	// failed is set if nothing of the transaction is kept, and only its end is awaited.
 	failed bool
 }
 
@@ -39,14 +39,15 @@
 	return s.done()
 }
 
-// fail rolls back for a reason; the caller learns of it with its next command.
+// fail rolls the transaction back. The caller learns of it with its next command.
 func (t *transaction) fail(s *session, reason string) {
 	t.end()
 	t.failed = true
-	s.node.log.Write(eventlog.TransactionRolledBack, zap.String("route", s.bound.Name), zap.String("reason", reason))
+	s.node.log.Write(eventlog.TransactionRolledBack, zap.String("route", s.bound.Name),
+		zap.String("reason", reason))
 }
 
-// end gives up the connection; what is open on it is rolled back.
+// end rolls back what is open on the connection and returns the connection.
 func (t *transaction) end() {
 	if t.lease == nil {
 		return
@@ -63,21 +64,21 @@
 	}
 }
 
-// open begins the transaction on a server. The reply is final if it reports false.
+// open begins the transaction on a server. If it reports false, the reply is final.
 func (t *transaction) open(r *run) (Reply, bool) {
 	if reply, charged := r.charge(); !charged {
 		t.failed = true
 		return reply, false
 	}
-	if !r.needsLeader() {
+	if !r.needsPrimary() {
 		return t.openOnReplica(r)
 	}
-	return t.openOnLeader(r)
+	return t.openOnPrimary(r)
 }
 
-func (t *transaction) openOnLeader(r *run) (Reply, bool) {
-	for r.goesOn() {
-		target, lease, reason := r.onLeader()
+func (t *transaction) openOnPrimary(r *run) (Reply, bool) {
+	for r.mayAttempt() {
+		target, lease, reason := r.acquirePrimary()
 		if lease == nil {
 			return r.refuseTransaction(reason), false
 		}
@@ -90,30 +91,31 @@
 		arrived := time.Now()
 		begin := batch.Last()
 		if r.service.JudgeBegin(target, begin) {
-			if !r.service.Confirmed(r.held, arrived, r.deadline) {
+			if !r.service.Confirmed(r.tenure, arrived, r.deadline) {
 				lease.RollBack()
 				continue
 			}
 			r.service.Proved(target, batch.SentAt, begin)
-			t.server, t.lease, t.proven, t.held = target, lease, true, r.held
+			t.server, t.lease, t.onPrimary, t.tenure = target, lease, true, r.tenure
 			return Reply{}, true
 		}
 		lease.Settle(begin)
-		if r.starved(target, begin) {
+		if r.connectionRefused(target, begin) {
 			break
 		}
-		r.notRun(target, begin)
+		r.handleNotRun(target, begin)
 	}
 	return r.refuseTransaction(failure.Overloaded), false
 }
 
 func (t *transaction) openOnReplica(r *run) (Reply, bool) {
-	for r.goesOn() {
-		target, lease, floor := r.onAnyServer()
+	for r.mayAttempt() {
+		target, lease, minimum := r.acquireReplica()
 		if lease == nil {
 			break
 		}
-		operations := append(lease.Adapt(r.session.values, nil), upstream.Operation{Kind: upstream.BeginReadOnly, Floor: floor.Position})
+		operations := append(lease.Adapt(r.session.values, nil),
+			upstream.Operation{Kind: upstream.BeginReadOnly, Floor: minimum.Position})
 		batch := lease.Run(operations, r.readDeadline(target))
 		if batch.Err != nil {
 			lease.Discard()
@@ -122,20 +124,20 @@
 		}
 		begin := batch.Last()
 		if begin.Outcome == upstream.Succeeded {
-			target.Stats.CaughtUp(time.Now(), floor.Since)
+			target.Stats.CaughtUp(time.Now(), minimum.Since)
 			t.server, t.lease = target, lease
 			return Reply{}, true
 		}
 		lease.Settle(begin)
-		if r.starved(target, begin) {
+		if r.connectionRefused(target, begin) {
 			break
 		}
-		r.readNotRun(target, begin, floor)
+		r.handleReadNotRun(target, begin, minimum)
 	}
 	return r.refuseTransaction(failure.Overloaded), false
 }
 
-// refuseTransaction fails the transaction; nothing of it has run.
+// refuseTransaction fails the transaction before any of it has run.
 func (r *run) refuseTransaction(kind failure.Kind) Reply {
 	r.session.transaction.failed = true
 	return r.refuse(kind)
@@ -152,25 +154,26 @@
 			return reply
 		}
 	} else if !t.lease.Alive() || r.service.Withdrawn(t.server.ID, time.Now()) {
-		return t.lost(r)
+		return t.failLost(r)
 	}
-	for r.goesOn() {
-		if !r.enter(t.server, t.lease, admission.Continuation) {
-			return t.refused(r)
+	for r.mayAttempt() {
+		if !r.acquireSlot(t.server, t.lease, admission.Continuation) {
+			return t.failNotRun(r)
 		}
 		operations := append(t.lease.Adapt(r.session.values, r.statement), r.operation())
 		batch := t.lease.Run(operations, r.deadline)
-		r.leave(t.server, t.lease, admission.Continuation, &batch, batch.Last())
+		r.releaseSlot(t.server, t.lease, admission.Continuation, &batch, batch.Last())
 		if batch.Err != nil {
-			r.log().Write(eventlog.AttemptFailed, zap.String("request", r.statement.RequestID), zap.String("command", "statement"),
+			r.log().Write(eventlog.AttemptFailed, zap.String("request", r.statement.RequestID),
+				zap.String("command", "statement"),
 				zap.String("server", t.server.ID), zap.Error(batch.Err))
-			return t.lost(r)
+			return t.failLost(r)
 		}
 		result := batch.Last()
 		switch {
 		case result.Outcome == upstream.Succeeded:
 			t.wrote = t.wrote || r.statement.Writes
-			if t.proven && r.service.Covered(t.held, time.Now()) {
+			if t.onPrimary && r.service.Covered(t.tenure, time.Now()) {
 				r.service.Proved(t.server, batch.SentAt, result)
 			}
 			return r.answer(result)
@@ -178,55 +181,56 @@
 			result.Outcome == upstream.StatementMissing && result.State == upstream.InTransaction:
 			r.pause(backends.BusyPause)
 		case result.Outcome.NotRun():
-			r.log().Write(eventlog.AttemptFailed, zap.String("request", r.statement.RequestID), zap.String("command", "statement"),
-				zap.String("server", t.server.ID), zap.Stringer("outcome", result.Outcome), zap.Uint8("state", uint8(result.State)))
+			r.log().Write(eventlog.AttemptFailed, zap.String("request", r.statement.RequestID),
+				zap.String("command", "statement"),
+				zap.String("server", t.server.ID), zap.Stringer("outcome", result.Outcome),
+				zap.Uint8("state", uint8(result.State)))
 			if result.Outcome == upstream.NotPrimary {
 				r.service.Deny(t.server.ID, time.Now())
 			}
-			return t.refused(r)
+			return t.failNotRun(r)
 		default:
 			t.end()
 			t.failed = true
 			return r.answer(result)
 		}
 	}
-	return t.refused(r)
+	return t.failNotRun(r)
 }
 
-// lost answers after the connection was lost or is in doubt. The transaction
-// was not committed, so closing its connection leaves nothing of it.
-func (t *transaction) lost(r *run) Reply {
+// failLost fails the transaction after its connection was lost or is in doubt. Closing the
+// connection leaves nothing of it, since it was not committed.
+func (t *transaction) failLost(r *run) Reply {
 	t.discard()
 	t.failed = true
-	return r.session.fail(failure.Refuse(failure.TransactionLost, r.comeBack(failure.TransactionLost)))
+	return r.session.fail(failure.Refuse(failure.TransactionLost, r.retryAfter(failure.TransactionLost)))
 }
 
-// refused answers after the server did not run a statement.
-func (t *transaction) refused(r *run) Reply {
+// failNotRun fails the transaction after the server did not run a statement.
+func (t *transaction) failNotRun(r *run) Reply {
 	t.end()
 	t.failed = true
-	return r.session.fail(failure.Refuse(failure.TransactionLost, r.comeBack(failure.TransactionLost)))
+	return r.session.fail(failure.Refuse(failure.TransactionLost, r.retryAfter(failure.TransactionLost)))
 }
 
 func (s *session) rollback() Reply {
 	if s.transaction == nil {
 		return s.fail(failure.New(failure.InvalidCommand, "no transaction is open"))
 	}
-	s.ended = s.transaction
+	s.pendingRollback = s.transaction
 	s.transaction = nil
 	return s.done()
 }
 
-// afterReply does what the caller need not wait for.
+// afterReply does the work that the caller need not wait for.
 func (s *session) afterReply() {
-	if s.ended != nil {
-		s.ended.end()
-		s.ended = nil
+	if s.pendingRollback != nil {
+		s.pendingRollback.end()
+		s.pendingRollback = nil
 	}
 }
 
-// commit ends the transaction. Its outcome is unknown if the answer is lost and
-// the transaction wrote.
+// commit ends the transaction. If it wrote and the answer is lost, the outcome is unknown.
 func (s *session) commit(received *command.Command, arrived time.Time) Reply {
 	t := s.transaction
 	if t == nil {
@@ -234,7 +238,7 @@
 	}
 	if t.failed {
 		s.transaction = nil
-		return s.fail(failure.Refuse(failure.TransactionLost, spread(leastComeBack)))
+		return s.fail(failure.Refuse(failure.TransactionLost, withJitter(minRetryAfter)))
 	}
 	r := s.newRun(&command.Statement{RequestID: received.RequestID}, arrived)
 	if t.lease == nil {
@@ -252,20 +256,24 @@
 
 func (t *transaction) commit(r *run, received *command.Command) Reply {
 	if !t.lease.Alive() || r.service.Withdrawn(t.server.ID, time.Now()) {
-		return t.lost(r)
+		return t.failLost(r)
 	}
-	for r.goesOn() {
-		if !r.enter(t.server, t.lease, admission.Continuation) {
-			return t.refused(r)
+	for r.mayAttempt() {
+		if !r.acquireSlot(t.server, t.lease, admission.Continuation) {
+			return t.failNotRun(r)
 		}
-		batch := t.lease.Run([]upstream.Operation{{Kind: upstream.Commit, RequestID: received.RequestID, Text: received.Text}}, r.deadline)
+		batch := t.lease.Run([]upstream.Operation{{
+			Kind: upstream.Commit, RequestID: received.RequestID,
+			Text: received.Text,
+		}}, r.deadline)
 		arrived := time.Now()
-		r.leave(t.server, t.lease, admission.Continuation, &batch, batch.Last())
+		r.releaseSlot(t.server, t.lease, admission.Continuation, &batch, batch.Last())
 		if batch.Err != nil {
-			r.log().Write(eventlog.AttemptFailed, zap.String("request", received.RequestID), zap.String("command", "commit"),
+			r.log().Write(eventlog.AttemptFailed, zap.String("request", received.RequestID),
+				zap.String("command", "commit"),
 				zap.String("server", t.server.ID), zap.Error(batch.Err))
 			wrote := t.wrote
-			reply := t.lost(r)
+			reply := t.failLost(r)
 			if wrote {
 				reply.Failure = failure.New(failure.OutcomeUnknown, "")
 			}
@@ -273,7 +281,7 @@
 		}
 		result := batch.Last()
 		if result.Outcome == upstream.Succeeded {
-			if t.wrote && !r.service.Confirmed(t.held, arrived, r.deadline) {
+			if t.wrote && !r.service.Confirmed(t.tenure, arrived, r.deadline) {
 				t.lease.Settle(result)
 				t.lease = nil
 				return r.session.fail(failure.New(failure.OutcomeUnknown, ""))
@@ -286,17 +294,17 @@
 			continue
 		}
 		if result.Outcome.NotRun() {
-			return t.refused(r)
+			return t.failNotRun(r)
 		}
 		t.end()
 		return r.answer(result)
 	}
-	return t.refused(r)
+	return t.failNotRun(r)
 }
 
 func (t *transaction) committed(r *run, result *upstream.Result) {
 	if t.wrote {
-		r.session.own = freshness.OwnCommit{At: time.Now(), Position: result.Position}
+		r.session.lastCommit = freshness.OwnCommit{At: time.Now(), Position: result.Position}
 	}
 	t.lease.Settle(result)
 	t.lease = nil
--- a/internal/proxy/write.go
+++ b/internal/proxy/write.go
@@ -13,25 +13,26 @@
 	"dewknot/internal/proxy/upstream"
 )
 
-// write runs a single write on the primary. It is sent again only after an
-// answer which promises that it did not run.
+// write runs a single write on the primary. It retries only after an answer that promises that the
+// write did not run.
 func (r *run) write() Reply {
-	for r.goesOn() {
-		target, lease, reason := r.onLeader()
+	for r.mayAttempt() {
+		target, lease, reason := r.acquirePrimary()
 		if lease == nil {
 			return r.refuse(reason)
 		}
-		if !r.enter(target, lease, admission.OnlyHere) {
+		if !r.acquireSlot(target, lease, admission.OnlyHere) {
 			lease.Return()
 			return r.refuse(failure.Overloaded)
 		}
 		operations := append(lease.Adapt(r.session.values, r.statement), r.operation())
 		batch := lease.Run(operations, r.deadline)
 		arrived := time.Now()
-		r.leave(target, lease, admission.OnlyHere, &batch, batch.Last())
+		r.releaseSlot(target, lease, admission.OnlyHere, &batch, batch.Last())
 		if batch.Err != nil {
 			lease.Discard()
-			r.log().Write(eventlog.AttemptFailed, zap.String("request", r.statement.RequestID), zap.String("command", "write"),
+			r.log().Write(eventlog.AttemptFailed, zap.String("request", r.statement.RequestID),
+				zap.String("command", "write"),
 				zap.String("server", target.ID), zap.Error(batch.Err))
 			return r.session.fail(failure.New(failure.OutcomeUnknown, ""))
 		}
@@ -39,38 +40,39 @@
 		lease.Settle(result)
 		if !result.Outcome.NotRun() {
 			if result.Outcome == upstream.Succeeded {
-				if !r.service.Confirmed(r.held, arrived, r.deadline) {
+				if !r.service.Confirmed(r.tenure, arrived, r.deadline) {
 					return r.session.fail(failure.New(failure.OutcomeUnknown, ""))
 				}
 				r.service.Proved(target, batch.SentAt, result)
-				r.session.own = freshness.OwnCommit{At: time.Now(), Position: result.Position}
+				r.session.lastCommit = freshness.OwnCommit{At: time.Now(), Position: result.Position}
 			}
 			return r.answer(result)
 		}
-		if result.Outcome == upstream.Busy && r.noRoom(target, admission.OnlyHere) || r.starved(target, result) {
+		if result.Outcome == upstream.Busy && r.slotWaitOver(target, admission.OnlyHere) ||
+			r.connectionRefused(target, result) {
 			break
 		}
-		r.notRun(target, result)
+		r.handleNotRun(target, result)
 	}
 	return r.refuse(failure.Overloaded)
 }
 
-// notRun takes an answer which promises that the statement did not run, and
-// waits where the next attempt would meet the same.
-func (r *run) notRun(target *backends.Server, result *upstream.Result) {
+// handleNotRun handles an answer that promises that the statement did not run. It waits if an
+// immediate retry would get the same answer.
+func (r *run) handleNotRun(target *backends.Server, result *upstream.Result) {
 	now := time.Now()
 	switch result.Outcome {
 	case upstream.Busy:
-		target.Stats.Busied(now.Add(busyLife))
+		target.Stats.Busied(now.Add(busyAvoidance))
 		r.pause(backends.BusyPause)
 	case upstream.NotPrimary:
 		if r.service.Deny(target.ID, now) {
 			r.log().Write(eventlog.PrimaryDenied, zap.String("service", r.service.Name),
 				zap.String("server", target.ID), zap.String("request", r.statement.RequestID))
 		}
-		r.awaitLeader()
+		r.awaitPrimary()
 	case upstream.Unreached:
-		r.awaitLeader()
+		r.awaitPrimary()
 	default:
 	}
 }
