--- a/internal/proxy/caller_test.go
+++ b/internal/proxy/caller_test.go
@@ -14,7 +14,7 @@
 	"dewknot/internal/proxy/command"
 )
 
-// memoryClient is the caller's end of a session, in memory.
+// memoryClient is an in-memory proxy.Client. It is also the caller's side of the session.
 type memoryClient struct {
 	net.Conn
 	database    string
@@ -93,7 +93,7 @@
 
 func (p clientPort) Close() { _ = p.memoryClient.Close() }
 
-// memoryListener hands sessions to a node.
+// memoryListener passes in-memory sessions to a node.
 type memoryListener struct {
 	pending chan net.Conn
 	closed  chan struct{}
@@ -121,9 +121,9 @@
 func (l *memoryListener) Addr() net.Addr { return &net.TCPAddr{} }
 
 // Ask implements judge.Session.
-func (c *memoryClient) Ask(asked command.Command) (judge.Answer, bool) {
+func (c *memoryClient) Ask(request command.Command) (judge.Answer, bool) {
 	select {
-	case c.commands <- asked:
+	case c.commands <- request:
 	case <-c.closed:
 		return judge.Answer{}, false
 	}
@@ -148,7 +148,7 @@
 	return answer
 }
 
-// memorySession is a caller's session; Close ends it from the caller's side.
+// memorySession is the caller's side of a session. Close ends it from that side.
 type memorySession struct{ *memoryClient }
 
 // Close implements judge.Session.
@@ -157,7 +157,7 @@
 	<-s.closed
 }
 
-// caller returns a caller of the fleet.
+// caller returns a caller of the fleet. Its name determines its tenant.
 func (f *simulatedFleet) caller(name string, random *rand.Rand) *judge.Caller {
 	tenant := tenantOf(name)
 	return judge.NewCaller(judge.CallerConfig{
--- a/internal/proxy/choose_test.go
+++ b/internal/proxy/choose_test.go
@@ -12,11 +12,11 @@
 	"dewknot/internal/proxy/told"
 )
 
-// TestToldWaitsSendReadsElsewhereWhileTheyAreNew: a read is not sent to a server whose owner
-// has just told of a long wait; when nothing recent is told, equal servers share the reads.
-func TestToldWaitsSendReadsElsewhereWhileTheyAreNew(t *testing.T) {
+// TestRecentLoadReportsSendReadsElsewhere guards against reads that are sent to a server whose
+// owner has just reported a long wait. Once the report is old, equal servers share the reads.
+func TestRecentLoadReportsSendReadsElsewhere(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
-		node := nodeBefore(catalog.Server{ID: "s1", Service: "bookings", Address: "s1", Zone: "a", Slots: 4},
+		node := newTestNode(catalog.Server{ID: "s1", Service: "bookings", Address: "s1", Zone: "a", Slots: 4},
 			catalog.Server{ID: "s2", Service: "bookings", Address: "s2", Zone: "a", Slots: 4})
 		defer node.log.Close()
 		r := &run{
--- a/internal/proxy/alone_test.go
+++ b/internal/proxy/cutoffnode_test.go
@@ -11,48 +11,48 @@
 	"dewknot/internal/lab/judge"
 )
 
-// setUnheard keeps a node from all other nodes, but not from the store.
-func (f *simulatedFleet) setUnheard(node int, unheard bool) {
+// setPeersCut cuts a node off from all other nodes, but not from the store.
+func (f *simulatedFleet) setPeersCut(node int, cut bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.apart[f.name(node)] = unheard
+	f.cutOff[f.name(node)] = cut
 }
 
-// cutFromServers keeps a node from all servers, or lets it reach them again.
+// cutFromServers cuts a node off from all servers, or lets it reach them again.
 func (f *simulatedFleet) cutFromServers(node int, cut bool) {
 	for i := range f.zones {
 		f.setCut(node, f.group.Server(i).ID(), cut)
 	}
 }
 
-// callersOnlyOn leads new callers to one node.
+// callersOnlyOn sends all new callers to one node.
 func (f *simulatedFleet) callersOnlyOn(node int) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.led = nil
+	f.withoutCallers = nil
 	for i := range f.listeners {
 		if i != node {
-			f.led = append(f.led, i)
+			f.withoutCallers = append(f.withoutCallers, i)
 		}
 	}
 }
 
-func (f *simulatedFleet) drive(name string, seed uint64, span time.Duration) *judge.Caller {
+func (f *simulatedFleet) drive(name string, seed uint64, duration time.Duration) *judge.Caller {
 	driver := f.caller(name, rand.New(rand.NewPCG(1, seed)))
-	driver.Run(time.Now().Add(span))
+	driver.Run(time.Now().Add(duration))
 	return driver
 }
 
-// The nodes of a fleet of five have connections of their own to all servers, those of
-// one of seven go through owners.
+// The nodes of a fleet of five connect to all servers directly. Those of a fleet of seven go
+// through owners.
 const (
 	fleetOfFive  = 5
 	fleetOfSeven = 7
 )
 
-// TestNodeThatIsAloneReplacesNobody: each node in turn, the holder of the lease among
-// them, hears no other node and does not reach the primary, which is well. Nobody
-// confirms that the primary is down, so it stays.
+// TestNodeThatIsAloneReplacesNobody guards against a failover by a node that reaches neither the
+// other nodes nor the primary, while the primary is healthy. Each node is cut off in turn,
+// including the lease holder.
 func TestNodeThatIsAloneReplacesNobody(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		fleet := newFleet(fleetOfSeven, 0, nothingBroken)
@@ -60,11 +60,11 @@
 		primary := fleet.group.Primary().ID()
 		for i := range fleetOfSeven {
 			fleet.callersOnlyOn(i)
-			fleet.setUnheard(i, true)
+			fleet.setPeersCut(i, true)
 			fleet.setCut(i, primary, true)
 			fleet.drive(fleet.name(i), uint64(i), 4*time.Second)
 			fleet.setCut(i, primary, false)
-			fleet.setUnheard(i, false)
+			fleet.setPeersCut(i, false)
 			time.Sleep(time.Second)
 		}
 		must.SliceEmpty(t, fleet.promoter.Orders())
@@ -73,8 +73,8 @@
 	})
 }
 
-// TestLastNodeReplacesALostPrimary: all other nodes are gone, so nobody can confirm; the
-// directory has lost the primary.
+// TestLastNodeReplacesALostPrimary guards against a failover that waits for confirmation by other
+// nodes when no other node is left.
 func TestLastNodeReplacesALostPrimary(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		fleet := newFleet(fleetOfSeven, 0, nothingBroken)
@@ -93,8 +93,9 @@
 	})
 }
 
-// TestNodeThatHearsNothingSendsItsCallersAway: it suspects nobody, calls itself not
-// ready and refuses at once; when its link is well again, it serves.
+// TestNodeThatHearsNothingSendsItsCallersAway guards against a degraded node that suspects the
+// primary or keeps its callers waiting. It must report that it is not ready, reject at once, and
+// serve again when its network has recovered.
 func TestNodeThatHearsNothingSendsItsCallersAway(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		fleet := newFleet(fleetOfFive, 0, nothingBroken)
@@ -103,16 +104,16 @@
 		fleet.drive("before", 1, 2*time.Second)
 		node := fleet.nodes[fleet.name(2)]
 		must.True(t, node.Ready())
-		fleet.setApart(fleet.name(2), true)
+		fleet.setCutOff(fleet.name(2), true)
 		fleet.cutFromServers(2, true)
 		fleet.drive("during", 2, 6*time.Second)
 		must.False(t, node.Ready())
 		began := time.Now()
-		sick := fleet.caller("late", rand.New(rand.NewPCG(1, 3)))
-		sick.Run(time.Now().Add(500 * time.Millisecond))
-		must.Less(t, time.Second, time.Since(began), must.Sprint("a refusal is told at once"))
-		must.Zero(t, sick.Served)
-		fleet.setApart(fleet.name(2), false)
+		rejected := fleet.caller("late", rand.New(rand.NewPCG(1, 3)))
+		rejected.Run(time.Now().Add(500 * time.Millisecond))
+		must.Less(t, time.Second, time.Since(began), must.Sprint("time until the rejection"))
+		must.Zero(t, rejected.Served)
+		fleet.setCutOff(fleet.name(2), false)
 		fleet.cutFromServers(2, false)
 		time.Sleep(3 * time.Second)
 		must.True(t, node.Ready())
--- a/internal/proxy/deputy_test.go
+++ b/internal/proxy/deputy_test.go
@@ -15,9 +15,9 @@
 	"dewknot/internal/proxy/failover"
 )
 
-// TestPrimaryIsReplacedWithoutStoreAndHolder: the store is down, the holder of the
-// lease is gone, and then the primary crashes: a deputy replaces it. When the store is
-// back and the new primary crashes too, the next change has a higher token.
+// TestPrimaryIsReplacedWithoutStoreAndHolder guards against a primary that nobody replaces while
+// the store is down and the lease holder is gone. A deputy must do so, and the next change of the
+// primary must use a higher token.
 func TestPrimaryIsReplacedWithoutStoreAndHolder(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		const nodes = 6
@@ -29,7 +29,7 @@
 		must.NoError(t, json.Unmarshal(object.Content, &lease))
 		must.Len(t, failover.MaxDeputies, lease.Deputies)
 		must.SliceNotContains(t, lease.Deputies, lease.Holder)
-		// The nodes serve the service, so they look at it.
+		// The nodes monitor the service because callers use it.
 		until := time.Now().Add(25 * time.Second)
 		var working sync.WaitGroup
 		for i := range 4 * nodes {
@@ -39,7 +39,7 @@
 		fleet.store.SetDown(true)
 		for i := range nodes {
 			if fleet.name(i) == lease.Holder {
-				fleet.stopListening(i)
+				fleet.sendNoCallers(i)
 				fleet.stopNode(i)
 			}
 		}
--- a/internal/proxy/reborn_test.go
+++ b/internal/proxy/emptyprimary_test.go
@@ -12,10 +12,10 @@
 	"dewknot/internal/base/bubbletest"
 )
 
-// TestPrimaryComesBackWithoutItsLog: a primary crashes and starts again under its ID at once, and
-// still leads, but holds nothing. It is not taken for one that holds the log: a replica that does
-// is promoted, and no read misses an acknowledged commit.
-func TestPrimaryComesBackWithoutItsLog(t *testing.T) {
+// TestPrimaryRestartsWithoutItsLog guards against a primary that restarts empty under the same ID
+// and still counts as one that holds the log. A replica with the log must be promoted, and no read
+// may miss an acknowledged commit.
+func TestPrimaryRestartsWithoutItsLog(t *testing.T) {
 	for name, synchronous := range map[string]int{"asynchronous": 0, "synchronous replicas": 1} {
 		t.Run(name, func(t *testing.T) {
 			bubbletest.Test(t, func(t *testing.T) {
@@ -29,12 +29,12 @@
 					working.Go(func() { caller.Run(until) })
 				}
 				time.Sleep(3 * time.Second)
-				empty := fleet.group.Primary()
-				empty.Crash()
+				restarted := fleet.group.Primary()
+				restarted.Crash()
 				time.Sleep(100 * time.Millisecond)
-				empty.RestartEmpty()
+				restarted.RestartEmpty()
 				time.Sleep(6 * time.Second)
-				must.NotEq(t, empty.ID(), fleet.group.Primary().ID())
+				must.NotEq(t, restarted.ID(), fleet.group.Primary().ID())
 				working.Wait()
 				must.SliceEmpty(t, fleet.check.Violations)
 				fleet.end()
--- a/internal/proxy/fleet_test.go
+++ b/internal/proxy/fleet_test.go
@@ -43,11 +43,13 @@
 		},
 		"bounded": {
 			Name: "bounded", Database: "bounded", Service: testService, Freshness: catalog.BoundedStaleness,
-			MaxStaleness: 700 * time.Millisecond, StatementTimeout: 2 * time.Second, TargetLatency: time.Second, Priority: 2,
+			MaxStaleness: 700 * time.Millisecond, StatementTimeout: 2 * time.Second,
+			TargetLatency: time.Second, Priority: 2,
 		},
 		"session": {
 			Name: "session", Database: "session", Service: testService, Freshness: catalog.ReadYourWrites,
-			MaxStaleness: 1200 * time.Millisecond, StatementTimeout: 800 * time.Millisecond, TargetLatency: time.Second, Priority: 2,
+			MaxStaleness: 1200 * time.Millisecond, StatementTimeout: 800 * time.Millisecond,
+			TargetLatency: time.Second, Priority: 2,
 		},
 	}
 )
@@ -61,49 +63,49 @@
 	zones    []string
 	log      *eventlog.Log
 	broken   brokenMechanism
-	// written holds the event log, if it is kept.
+	// written is the event log, if it is kept.
 	written *lockedBuffer
 
 	mutex     sync.Mutex
 	listeners []*memoryListener
 	cancels   []context.CancelFunc
-	// cuts holds the servers that a node cannot reach.
-	cuts    []map[string]bool
-	running sync.WaitGroup
-	life    int
-	// led holds the nodes that get no new callers.
-	led []int
-	// muted holds the nodes that read nothing from the links of others.
-	muted map[string]bool
-	// countCommand counts the bytes of the answers that nodes gave each other.
+	// cuts holds the servers that each node cannot reach.
+	cuts         []map[string]bool
+	running      sync.WaitGroup
+	incarnations int
+	// withoutCallers holds the nodes that get no new callers.
+	withoutCallers []int
+	// paused holds the paused nodes, which read nothing from their links.
+	paused map[string]bool
+	// answered counts the bytes of the answers between nodes.
 	answered atomic.Int64
-	// traces holds the traces of all failover machines, if they are recorded.
+	// traces records all failover state machines; it may be nil.
 	traces *traceRecorder
-	// quotas are the bounds of the tenants' quotas.
+	// quotas bound how far tenants may exceed their quotas.
 	quotas           quota.Bounds
 	strictRevocation bool
-	// evacuationBound is 0 where zones are not evacuated.
+	// evacuationBound is 0 if zones are never evacuated.
 	evacuationBound time.Duration
-	// agreed is set if the nodes agree on tenures, since the platform checks no tokens.
+	// agreed is set if the nodes agree on tenures by quorum.
 	agreed bool
-	// apart holds the nodes that no other node reaches, or that reach none.
-	apart map[string]bool
-	// moreTroubles adds the troubles that matter where no fences are checked.
-	moreTroubles bool
-	// sickServers makes a third of the troubles those of servers that are slow, fail part of
-	// the statements or go down and up by turns.
-	sickServers bool
-	restarting  sync.Mutex
+	// cutOff holds the nodes that are cut off from all other nodes.
+	cutOff map[string]bool
+	// unfencedFaults adds the faults that matter on platforms without fencing.
+	unfencedFaults bool
+	// degradedServers makes a third of the faults degraded servers: slow ones, ones that fail some
+	// statements, and ones that flap.
+	degradedServers bool
+	restarting      sync.Mutex
 	// nodes holds the running nodes by name.
 	nodes map[string]*proxy.Node
 	links *slowLinks
-	// silenceConsents breaks the rule on witnesses: the silence of a node counts as its
-	// word that it does not reach a server.
+	// silenceConsents breaks the rule on witnesses: a node that doesn't answer counts as one that
+	// confirms that it doesn't reach a server.
 	silenceConsents bool
 }
 
-// lockedBuffer keeps a log in memory: a write to a file would not be part of a
-// bubble's virtual time.
+// lockedBuffer keeps a log in memory, because file writes don't take part in the virtual time of a
+// synctest bubble.
 type lockedBuffer struct {
 	mutex sync.Mutex
 	bytes.Buffer
@@ -121,29 +123,30 @@
 	return fleet
 }
 
-// fleetConfig describes a fleet and its platform.
+// fleetConfig configures a fleet and its platform.
 type fleetConfig struct {
 	nodes               int
 	synchronousReplicas int
 	broken              brokenMechanism
-	// unfenced is a platform that checks no tokens; replaced primaries go on there.
+	// unfenced is set for a platform that checks no fencing tokens, where a replaced primary
+	// continues.
 	unfenced bool
-	// quotas are the bounds of the tenants' quotas, if there are any.
+	// quotas bound how far tenants may exceed their quotas.
 	quotas           quota.Bounds
 	strictRevocation bool
 	evacuationBound  time.Duration
-	// disagreed lets the nodes believe what servers say of themselves all the same.
-	disagreed bool
+	// trustsServers makes nodes on an unfenced platform trust the servers' own statements.
+	trustsServers bool
 }
 
-// newUnfencedFleet returns a fleet on a platform that checks no fences.
+// newUnfencedFleet returns a fleet on a platform without fencing.
 func newUnfencedFleet(nodes, synchronousReplicas int) *simulatedFleet {
 	fleet := prepareFleet(fleetConfig{nodes: nodes, synchronousReplicas: synchronousReplicas, unfenced: true})
 	fleet.startNodes()
 	return fleet
 }
 
-// newRecordedFleet returns a fleet that records its failover machines.
+// newRecordedFleet returns a fleet that records its failover state machines.
 func newRecordedFleet(nodes int, synchronousReplicas int) *simulatedFleet {
 	fleet := prepareFleet(fleetConfig{nodes: nodes, synchronousReplicas: synchronousReplicas})
 	fleet.recordTraces()
@@ -161,9 +164,11 @@
 func prepareFleet(cfg fleetConfig) *simulatedFleet {
 	nodes, synchronousReplicas := cfg.nodes, cfg.synchronousReplicas
 	fleet := &simulatedFleet{
-		store: managed.NewStore(), check: judge.New(), zones: []string{"a", "b", "c"}, agreed: cfg.unfenced && !cfg.disagreed, quotas: cfg.quotas, strictRevocation: cfg.strictRevocation, evacuationBound: cfg.evacuationBound,
-		broken: cfg.broken, nodes: map[string]*proxy.Node{}, muted: map[string]bool{}, apart: map[string]bool{},
-		links: newSlowLinks(),
+		store: managed.NewStore(), check: judge.New(), zones: []string{"a", "b", "c"},
+		agreed: cfg.unfenced && !cfg.trustsServers, quotas: cfg.quotas,
+		strictRevocation: cfg.strictRevocation, evacuationBound: cfg.evacuationBound,
+		broken: cfg.broken, nodes: map[string]*proxy.Node{}, paused: map[string]bool{},
+		cutOff: map[string]bool{}, links: newSlowLinks(),
 	}
 	if os.Getenv("DEWKNOT_SIMULATED_LOG") != "" {
 		fleet.written = &lockedBuffer{}
@@ -172,18 +177,22 @@
 		fleet.log = eventlog.New(io.Discard, eventlog.Config{Node: "simulation", LinesPerSecond: 1})
 	}
 	fleet.check.OnLost = func(at position.Position, commit *judge.Commit) {
-		fleet.log.Write("rolled_back", zap.Stringer("position", at), zap.Bool("acknowledged", !commit.Acknowledged.IsZero()))
+		fleet.log.Write("rolled_back", zap.Stringer("position", at),
+			zap.Bool("acknowledged", !commit.Acknowledged.IsZero()))
 	}
 	fleet.group = managed.NewGroup(managed.Settings{
 		Name: testService, Zones: fleet.zones, Slots: 3, Queue: 12, Connections: 24,
 		Work: 4 * time.Millisecond, Handshake: 5 * time.Millisecond, ReceiveDelay: 3 * time.Millisecond,
-		ApplyDelay: 8 * time.Millisecond, PromotionDelay: 600 * time.Millisecond, NetworkDelay: 2 * time.Millisecond,
-		SynchronousReplicas: synchronousReplicas, Unfenced: cfg.unfenced,
+		ApplyDelay: 8 * time.Millisecond, PromotionDelay: 600 * time.Millisecond,
+		NetworkDelay: 2 * time.Millisecond, SynchronousReplicas: synchronousReplicas,
+		Unfenced: cfg.unfenced,
 	}, fleet.check, fleet.store.PublishEntry)
 	groups := map[string]*managed.Group{testService: fleet.group}
 	fleet.promoter = &managed.Promoter{Groups: groups}
 	first := testConfiguration(1, testTenants)
-	first.Services[testService] = catalog.Service{Name: testService, MaxConnections: 24, SynchronousReplicas: synchronousReplicas}
+	first.Services[testService] = catalog.Service{
+		Name: testService, MaxConnections: 24, SynchronousReplicas: synchronousReplicas,
+	}
 	fleet.store.Put(managed.ConfigurationKind, "main", first)
 	for range nodes {
 		fleet.listeners = append(fleet.listeners, nil)
@@ -196,24 +205,32 @@
 func (f *simulatedFleet) startNode(i int) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.life++
+	f.incarnations++
 	name := fmt.Sprintf("node-%d", i)
 	listener := newMemoryListener()
 	ctx, cancel := context.WithCancel(context.Background())
 	f.listeners[i], f.cancels[i] = listener, cancel
 	node := proxy.New(proxy.Options{
-		Name: name, Zone: f.zones[i%len(f.zones)], PeerAddress: name, Life: strconv.Itoa(f.life), Seeds: f.seeds(),
+		Name: name, Zone: f.zones[i%len(f.zones)], PeerAddress: name,
+		Life: strconv.Itoa(f.incarnations), Seeds: f.seeds(),
 		Regions:            map[string]string{"a": "r1", "b": "r2", "c": "r3"},
-		ConfigurationBound: 4 * time.Second, DrainBound: 7 * time.Second, EvacuationBound: f.evacuationBound, StopGrace: 6 * time.Second,
-		Kinds:            network.Kinds{Configuration: managed.ConfigurationKind, Servers: managed.ServerKind, Leases: managed.LeaseKind, Members: managed.MemberKind, Voters: managed.VoterKind, Readers: managed.ReaderKind, Evacuations: managed.EvacuationKind},
+		ConfigurationBound: 4 * time.Second, DrainBound: 7 * time.Second,
+		EvacuationBound: f.evacuationBound, StopGrace: 6 * time.Second,
+		Kinds: network.Kinds{
+			Configuration: managed.ConfigurationKind, Servers: managed.ServerKind,
+			Leases: managed.LeaseKind, Members: managed.MemberKind,
+			Voters: managed.VoterKind, Readers: managed.ReaderKind, Evacuations: managed.EvacuationKind,
+		},
 		StrictRevocation: f.strictRevocation, RevocationBound: 5 * time.Second,
-		Agreed: f.agreed, MessageAddress: name, Quotas: f.quotas, TokenAddress: name, FirstStart: f.life <= len(f.listeners),
+		Agreed: f.agreed, MessageAddress: name, Quotas: f.quotas, TokenAddress: name,
+		FirstStart: f.incarnations <= len(f.listeners),
 	}, proxy.Ports{
-		Store: &linkedStore{f.store.Client(name), f.links, name}, Promoter: f.promoter, Decoder: managed.Decoder{},
-		Dialer: &breakingDialer{Dialer: &simulatedDialer{f, i}, broken: f.broken},
-		Client: func(connection net.Conn) proxy.Client { return clientPort{connection.(*memoryClient)} },
-		Peers:  memoryPeers{f, name}, Messages: &memoryMessages{f, name}, Tokens: &memoryTokens{f, name},
-		Trace: f.traces.of(name, strconv.Itoa(f.life)),
+		Store: &linkedStore{f.store.Client(name), f.links, name}, Promoter: f.promoter,
+		Decoder: managed.Decoder{},
+		Dialer:  &breakingDialer{Dialer: &simulatedDialer{f, i}, broken: f.broken},
+		Client:  func(connection net.Conn) proxy.Client { return clientPort{connection.(*memoryClient)} },
+		Peers:   memoryPeers{f, name}, Messages: &memoryMessages{f, name}, Tokens: &memoryTokens{f, name},
+		Trace: f.traces.of(name, strconv.Itoa(f.incarnations)),
 	}, f.log)
 	f.nodes[name] = node
 	f.running.Go(func() { _ = node.Run(ctx, listener) })
@@ -236,25 +253,24 @@
 	f.cuts[node][server] = cut
 }
 
-// stopListening leads new callers away from a node.
-func (f *simulatedFleet) stopListening(i int) {
+// sendNoCallers sends new callers to other nodes.
+func (f *simulatedFleet) sendNoCallers(i int) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.led = append(f.led, i)
+	f.withoutCallers = append(f.withoutCallers, i)
 }
 
 func (f *simulatedFleet) listener(random *rand.Rand) *memoryListener {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	for {
-		if i := random.IntN(len(f.listeners)); !slices.Contains(f.led, i) {
+		if i := random.IntN(len(f.listeners)); !slices.Contains(f.withoutCallers, i) {
 			return f.listeners[i]
 		}
 	}
 }
 
-// stopNode ends a node, which gives up what it holds; it reports false if the node has
-// ended already.
+// stopNode stops a node. It reports false if the node is not running.
 func (f *simulatedFleet) stopNode(i int) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -267,13 +283,15 @@
 	return true
 }
 
-// simulatedDialer reaches servers as a node does, directly or through another node.
+// simulatedDialer dials servers from a node, directly or through another node.
 type simulatedDialer struct {
 	fleet *simulatedFleet
 	node  int
 }
 
-func (d *simulatedDialer) Dial(ctx context.Context, target upstream.Target) (upstream.Connection, position.Position, error) {
+func (d *simulatedDialer) Dial(
+	ctx context.Context, target upstream.Target,
+) (upstream.Connection, position.Position, error) {
 	from := d.node
 	d.fleet.mutex.Lock()
 	node := d.fleet.nodes[fmt.Sprintf("node-%d", d.node)]
@@ -283,19 +301,21 @@
 			_, _ = fmt.Sscanf(via, "node-%d", &from)
 		}
 	}
-	dialer := &managed.Dialer{Groups: d.fleet.promoter.Groups, Reach: func(id string) bool { return d.fleet.reaches(from, id) }}
+	dialer := &managed.Dialer{
+		Groups: d.fleet.promoter.Groups,
+		Reach:  func(id string) bool { return d.fleet.reaches(from, id) },
+	}
 	return dialer.Dial(ctx, target)
 }
 
-// memoryPeers lets the fleet's nodes ask each other.
+// memoryPeers carries requests between the fleet's nodes.
 type memoryPeers struct {
 	fleet *simulatedFleet
 	name  string
 }
 
-// memoryMessages carries the messages of the agreement between the fleet's nodes, in
-// their encoding. What goes to or comes from a node that is apart is lost; a node that
-// stands still gets it later.
+// memoryMessages carries encoded quorum messages between the fleet's nodes. Messages from and to a
+// node that is cut off are lost; a paused node gets them later.
 type memoryMessages struct {
 	fleet *simulatedFleet
 	name  string
@@ -316,7 +336,7 @@
 	})
 }
 
-// memoryTokens carries the messages about tokens in the same way.
+// memoryTokens carries messages about quota tokens in the same way.
 type memoryTokens struct {
 	fleet *simulatedFleet
 	name  string
@@ -337,15 +357,15 @@
 	})
 }
 
-// deliver hands a message over a little later, unless one of the two nodes is apart then.
+// deliver delivers a message after a delay, unless one of the two nodes is cut off then.
 func (f *simulatedFleet) deliver(from, to string, receive func(node *proxy.Node)) {
 	time.AfterFunc(2*time.Millisecond, func() {
-		for f.isMuted(to) {
+		for f.isPaused(to) {
 			time.Sleep(10 * time.Millisecond)
 		}
 		f.mutex.Lock()
 		node := f.nodes[to]
-		lost := f.apart[to] || f.apart[from]
+		lost := f.cutOff[to] || f.cutOff[from]
 		f.mutex.Unlock()
 		if node != nil && !lost {
 			receive(node)
@@ -353,19 +373,19 @@
 	})
 }
 
-// setApart keeps a node from all others and from the store, or lets it reach them again.
-func (f *simulatedFleet) setApart(node string, apart bool) {
-	f.store.SetCut(node, apart)
+// setCutOff cuts a node off from all other nodes and from the store, or reconnects it.
+func (f *simulatedFleet) setCutOff(node string, cutOff bool) {
+	f.store.SetCut(node, cutOff)
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.apart[node] = apart
+	f.cutOff[node] = cutOff
 }
 
-// meets reports whether a node reaches another one.
-func (f *simulatedFleet) meets(one, other string) bool {
+// connected reports whether two nodes reach each other.
+func (f *simulatedFleet) connected(one, other string) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return !f.apart[one] && !f.apart[other]
+	return !f.cutOff[one] && !f.cutOff[other]
 }
 
 func (p memoryPeers) Ask(ctx context.Context, address string, question relay.Question) (relay.Answer, error) {
@@ -376,7 +396,7 @@
 	if node == nil {
 		return relay.Answer{}, net.ErrClosed
 	}
-	if !p.fleet.meets(p.name, address) {
+	if !p.fleet.connected(p.name, address) {
 		<-ctx.Done()
 		if p.fleet.silenceConsents && question.Server != "" {
 			return relay.Answer{}, nil
@@ -398,40 +418,40 @@
 	p.fleet.mutex.Lock()
 	node := p.fleet.nodes[address]
 	p.fleet.mutex.Unlock()
-	if node == nil || !p.fleet.meets(p.name, address) {
+	if node == nil || !p.fleet.connected(p.name, address) {
 		return nil, net.ErrClosed
 	}
 	here, there := net.Pipe()
-	go node.ServeLink(&mutedConn{there, p.fleet, address})
+	go node.ServeLink(&pausedConn{there, p.fleet, address})
 	return here, nil
 }
 
-// mutedConn is a node's end of a link; nothing comes in while the node stands still.
-type mutedConn struct {
+// pausedConn is a node's end of a link. Reads are delayed while the node is paused.
+type pausedConn struct {
 	net.Conn
 	fleet *simulatedFleet
 	node  string
 }
 
 // Read implements net.Conn.
-func (c *mutedConn) Read(buffer []byte) (int, error) {
+func (c *pausedConn) Read(buffer []byte) (int, error) {
 	n, err := c.Conn.Read(buffer)
-	for c.fleet.isMuted(c.node) {
+	for c.fleet.isPaused(c.node) {
 		time.Sleep(10 * time.Millisecond)
 	}
 	return n, err
 }
 
-func (f *simulatedFleet) isMuted(node string) bool {
+func (f *simulatedFleet) isPaused(node string) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.muted[node]
+	return f.paused[node]
 }
 
-func (f *simulatedFleet) setMuted(node string, muted bool) {
+func (f *simulatedFleet) setPaused(node string, paused bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.muted[node] = muted
+	f.paused[node] = paused
 }
 
 func (f *simulatedFleet) stop() {
@@ -441,8 +461,7 @@
 	f.running.Wait()
 }
 
-// end stops the fleet at the end of a test. Calls that are still under way end by
-// their own limits.
+// end stops the fleet at the end of a test, and waits until pending calls have timed out.
 func (f *simulatedFleet) end() {
 	f.stop()
 	time.Sleep(10 * time.Second)
--- a/internal/proxy/wayback_test.go
+++ b/internal/proxy/fleetrestart_test.go
@@ -10,17 +10,16 @@
 	"dewknot/internal/lab/standin/managed"
 )
 
-// TestWayBackOfALargeFleet: all nodes lose power and start at the same moment. Only readers list
-// at the store, whose link carries a tenth of what all would list in the time that a start may
-// take, so the number of listings does not grow with the fleet, and all nodes know enough to
-// serve within the bound.
-func TestWayBackOfALargeFleet(t *testing.T) {
+// TestRestartOfALargeFleet guards against a restart of all nodes that overloads the store. Only
+// readers may list there, so that the number of listings doesn't grow with the fleet, and all nodes
+// must be ready within the bound.
+func TestRestartOfALargeFleet(t *testing.T) {
 	for _, nodes := range []int{150, 300} {
 		bubbletest.Test(t, func(t *testing.T) {
 			const (
-				// bound is within how long nodes are to serve again: callers give an operation 4 s.
+				// bound is when all nodes must be ready. Callers wait up to 4 s for an operation.
 				bound = 3 * time.Second
-				// readers are two in each of three zones.
+				// readers is two nodes in each of three zones.
 				readers = 6
 			)
 			fleet := prepareFleet(fleetConfig{nodes: nodes})
@@ -36,10 +35,12 @@
 			fleet.startNodes()
 			time.Sleep(bound)
 			for name, node := range fleet.nodes {
-				must.True(t, node.Ready(), must.Sprint(nodes, " nodes: ", name, " does not know enough to serve"))
+				must.True(t, node.Ready(), must.Sprint(nodes, " nodes: ", name,
+					" does not know enough to serve"))
 			}
 			for kind, count := range fleet.links.takeListings() {
-				// Each at its start, again with its first looks at the members, and for others.
+				// Each reader lists at its start, again when it first checks the members, and for
+				// other nodes.
 				must.LessEq(t, 6*readers, count, must.Sprint(nodes, " nodes list ", kind))
 			}
 			fleet.end()
--- a/internal/proxy/places_test.go
+++ b/internal/proxy/homes_test.go
@@ -16,12 +16,14 @@
 	"dewknot/internal/proxy/command"
 )
 
-// TestEvacuatedZone: the zone of the primary is evacuated, with the store down soon after, and
-// later taken back. Within the bound its server receives nothing more, transactions included;
-// the primary is replaced elsewhere and callers are served on.
+// TestEvacuatedZone guards against work that reaches a server of an evacuated zone after the bound,
+// also while the store is down. The primary must be replaced, and the zone used again after the
+// evacuation ends.
 func TestEvacuatedZone(t *testing.T) {
 	for name, unfenced := range map[string]bool{"fenced": false, "without fences": true} {
-		t.Run(name, func(t *testing.T) { bubbletest.Test(t, func(t *testing.T) { testEvacuatedZone(t, unfenced) }) })
+		t.Run(name, func(t *testing.T) {
+			bubbletest.Test(t, func(t *testing.T) { testEvacuatedZone(t, unfenced) })
+		})
 	}
 }
 
@@ -50,14 +52,14 @@
 	fleet.store.SetDown(false)
 	fleet.store.Remove(managed.EvacuationKind, evacuated.Zone())
 	time.Sleep(3 * time.Second)
-	must.Greater(t, before, evacuated.Statements(), must.Sprint("the zone was taken back"))
+	must.Greater(t, before, evacuated.Statements(), must.Sprint("statements after the evacuation ended"))
 	working.Wait()
 	must.SliceEmpty(t, fleet.check.Violations)
 	fleet.end()
 }
 
-// TestAllZonesEvacuated: no server is left. Callers are told at once, and served again after one
-// zone is taken back.
+// TestAllZonesEvacuated guards against work that reaches evacuated servers when no other server is
+// left, and against callers that are not served again after one zone returns.
 func TestAllZonesEvacuated(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		const nodes, bound = 6, 5 * time.Second
@@ -87,9 +89,8 @@
 	})
 }
 
-// TestHomes: a route's homes are narrower than the places of its servers. Its statements reach
-// servers of its homes only, through nodes of the homes' regions only, and the primary moves
-// where they may go.
+// TestHomes guards against statements that leave the homes of their route: they may only reach
+// servers of these regions, through nodes of these regions, and the primary must move there.
 func TestHomes(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		const nodes = 9
@@ -122,9 +123,9 @@
 	})
 }
 
-// TestTransactionOnAnEvacuatedServer: a transaction is open on the primary when its zone is
-// evacuated. Once the server may receive nothing more, the next statement, or the commit, does not
-// reach it, also if no other server takes the lead: the caller is told that nothing is kept.
+// TestTransactionOnAnEvacuatedServer guards against a statement or commit of an open transaction
+// that reaches a server after its evacuation, also if no other server becomes the primary. The
+// caller must learn that nothing is kept.
 func TestTransactionOnAnEvacuatedServer(t *testing.T) {
 	for _, last := range []command.Kind{command.Read, command.Commit} {
 		bubbletest.Test(t, func(t *testing.T) {
--- a/internal/proxy/members_test.go
+++ b/internal/proxy/members_test.go
@@ -9,16 +9,16 @@
 	"dewknot/internal/base/bubbletest"
 )
 
-// TestFleetThatReturnsLeavesItsSeedsAlone: 100 nodes that are killed and start within three seconds
-// take longer for the list of members, over their links, than the store is waited for. They
-// do not turn to the three seeds for it, whose links would fill, and serve soon.
-func TestFleetThatReturnsLeavesItsSeedsAlone(t *testing.T) {
+// TestRestartedFleetDoesNotOverloadItsSeeds guards against 100 restarted nodes that all ask the
+// three seeds for the list of members, because it takes longer over their slow links than the
+// timeout of a call to the store.
+func TestRestartedFleetDoesNotOverloadItsSeeds(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		const (
 			nodes = 100
-			// slow takes about half a second for the list.
+			// slow is a rate at which the list takes about half a second.
 			slow = 12 << 10
-			// few is what all nodes together may tell each other, a third of a list for each.
+			// few bounds the bytes of all answers between nodes: a third of a list for each node.
 			few = nodes * 2 << 10
 		)
 		fleet := newFleet(nodes, 0, nothingBroken)
--- a/internal/proxy/metrics.go
+++ b/internal/proxy/metrics.go
@@ -17,12 +17,12 @@
 
 // metrics are the node's Prometheus metrics.
 type metrics struct {
-	registry  *prometheus.Registry
-	commands  *prometheus.CounterVec
-	durations *prometheus.HistogramVec
-	reads     *prometheus.CounterVec
-	floorAges *prometheus.HistogramVec
-	refusals  *prometheus.CounterVec
+	registry    *prometheus.Registry
+	commands    *prometheus.CounterVec
+	durations   *prometheus.HistogramVec
+	reads       *prometheus.CounterVec
+	minimumAges *prometheus.HistogramVec
+	refusals    *prometheus.CounterVec
 	// storeCalls counts the calls to the store.
 	storeCalls *prometheus.CounterVec
 	// entriesRefused counts entries of the store that can't be read.
@@ -53,7 +53,7 @@
 			Buckets: backends.DurationBuckets,
 			Help:    "Time from a command's arrival to its answer, for commands that reached a server.",
 		}, []string{"freshness"}),
-		floorAges: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+		minimumAges: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Namespace: network.MetricsNamespace, Name: "read_floor_age_seconds",
 			Buckets: backends.DurationBuckets,
 			Help:    "Age of the position that a read on any server had to see, when it was answered.",
@@ -77,7 +77,7 @@
 			Namespace: network.MetricsNamespace, Name: name, Help: help,
 		}, value)
 	}
-	m.registry.MustRegister(m.commands, m.durations, m.reads, m.floorAges, m.refusals, m.storeCalls,
+	m.registry.MustRegister(m.commands, m.durations, m.reads, m.minimumAges, m.refusals, m.storeCalls,
 		m.entriesRefused, m.readDistances, m.tokens,
 		gauge("sessions", "Sessions open.", func() float64 { return float64(node.sessionCount.Load()) }),
 		gauge("configuration_version", "Version of the configuration in force.",
@@ -159,7 +159,7 @@
 		}
 		m.reads.WithLabelValues(level, role.String()).Inc()
 		if since := s.record.minimum.Since; !since.IsZero() {
-			m.floorAges.WithLabelValues(level).Observe(time.Since(since).Seconds())
+			m.minimumAges.WithLabelValues(level).Observe(time.Since(since).Seconds())
 		}
 	}
 }
--- a/internal/proxy/mutation_test.go
+++ b/internal/proxy/mutation_test.go
@@ -12,33 +12,35 @@
 	"dewknot/internal/proxy/upstream"
 )
 
-// brokenMechanism is a mechanism that is switched off between the runtime and
-// the servers; the checker must notice each.
+// brokenMechanism is a safety mechanism that is disabled between the proxy and the servers. The
+// judge must detect each.
 type brokenMechanism uint8
 
 const (
 	nothingBroken brokenMechanism = iota
-	// floorsIgnored: reads run on servers whatever they have applied.
-	floorsIgnored
-	// leadNotProved: transactions of the primary are opened on any server.
-	leadNotProved
-	// lostMeansNotRun: a lost answer is taken for a refusal.
+	// minimumsIgnored: servers run reads without the minimum position.
+	minimumsIgnored
+	// primaryNotProved: a transaction for the primary is opened on any server.
+	primaryNotProved
+	// lostMeansNotRun: a lost answer counts as a promise that the operation did not run.
 	lostMeansNotRun
-	// valuesNotSet: session values are not carried over to other connections.
+	// valuesNotSet: session values are not transferred to other connections.
 	valuesNotSet
-	// rollbackIgnored: connections are returned with their transaction open.
+	// rollbackIgnored: connections are returned with an open transaction.
 	rollbackIgnored
-	// tenantsMixed opens all connections in the node's own name.
+	// tenantsMixed: all connections are opened in the node's own name.
 	tenantsMixed
 )
 
-// breakingDialer switches a mechanism off on all its connections.
+// breakingDialer disables a mechanism on all its connections.
 type breakingDialer struct {
 	upstream.Dialer
 	broken brokenMechanism
 }
 
-func (d *breakingDialer) Dial(ctx context.Context, target upstream.Target) (upstream.Connection, position.Position, error) {
+func (d *breakingDialer) Dial(
+	ctx context.Context, target upstream.Target,
+) (upstream.Connection, position.Position, error) {
 	if d.broken == tenantsMixed {
 		target.Principal = upstream.Own
 	}
@@ -58,9 +60,9 @@
 	changed := append([]upstream.Operation(nil), operations...)
 	for i := range changed {
 		switch {
-		case c.broken == floorsIgnored:
+		case c.broken == minimumsIgnored:
 			changed[i].Floor = position.Position{}
-		case c.broken == leadNotProved && changed[i].Kind == upstream.Begin:
+		case c.broken == primaryNotProved && changed[i].Kind == upstream.Begin:
 			changed[i].Kind = upstream.BeginReadOnly
 		case c.broken == valuesNotSet && changed[i].Kind == upstream.SetValue:
 			changed[i].Kind = upstream.ResetSession
@@ -82,15 +84,17 @@
 	return result, err
 }
 
+// TestBrokenMechanismsAreNoticed guards against a judge that overlooks a broken safety mechanism.
 func TestBrokenMechanismsAreNoticed(t *testing.T) {
 	const seeds = 12
-	for broken := floorsIgnored; broken <= tenantsMixed; broken++ {
+	for broken := minimumsIgnored; broken <= tenantsMixed; broken++ {
 		noticed := 0
 		for seed := uint64(1); seed <= seeds && noticed == 0; seed++ {
 			bubbletest.Test(t, func(*testing.T) {
 				noticed = len(simulate(seed, fewNodes, 0, 25*time.Second, broken).violations)
 			})
 		}
-		must.Positive(t, noticed, must.Sprintf("mechanism %d is broken, and no seed up to %d shows it", broken, seeds))
+		must.Positive(t, noticed,
+			must.Sprintf("mechanism %d is broken, but no seed up to %d has a violation", broken, seeds))
 	}
 }
--- a/internal/proxy/node.go
+++ b/internal/proxy/node.go
@@ -89,8 +89,8 @@
 	// EvacuationBound is the time after which the servers of an evacuated zone must not receive
 	// anything. It is 0 if zones are never evacuated.
 	EvacuationBound time.Duration
-	// ColdOverage and ColdSlack are how far the requests to a cold server may exceed its rate in
-	// any second: a fraction of the rate, and a number of requests.
+	// ColdOverage and ColdSlack bound the requests to a cold server in any second: its rate times
+	// ColdOverage, but at least its rate, plus ColdSlack.
 	ColdOverage float64
 	ColdSlack   float64
 	// StopGrace is the time from the stop signal until the process is killed.
@@ -148,8 +148,8 @@
 	closing      atomic.Bool
 	aborting     atomic.Bool
 	// quotas is nil if there are no quotas. hasShare is set once the node has its share of them,
-	// previousMembers is the number of members in the previous list. Only the goroutine that follows
-	// the members uses hasShare and previousMembers.
+	// previousMembers is the number of members in the previous list. Only the goroutine that
+	// follows the members uses hasShare and previousMembers.
 	quotas          *quota.Keeper
 	hasShare        bool
 	previousMembers int
--- a/internal/proxy/quotas_test.go
+++ b/internal/proxy/quotas_test.go
@@ -20,7 +20,7 @@
 
 var testBounds = quota.Bounds{Window: 5 * time.Second, Overage: 0.1, Slack: 5}
 
-// setQuotas gives the tenants quotas in a new version of the configuration.
+// setQuotas publishes a new version of the configuration with quotas by tenant.
 func (f *simulatedFleet) setQuotas(version uint64, quotas map[string]catalog.Quota) {
 	configuration := testConfiguration(version, testTenants)
 	var tenants []catalog.Tenant
@@ -45,19 +45,20 @@
 	return fleet
 }
 
-// checkQuota judges a tenant's quota over all windows from a time on.
+// checkQuota checks a tenant's quota in all windows from a time on. It returns the most operations
+// found in a window.
 func (f *simulatedFleet) checkQuota(tenant string, allowed catalog.Quota, from time.Time) int {
 	return f.check.CheckQuota(judge.Allowance{
 		Tenant: tenant, Span: testBounds.Window, Most: int(testBounds.Most(allowed)), From: from,
 	})
 }
 
-// driveAll runs several callers at the same time and returns what they were told together.
-func (f *simulatedFleet) driveAll(names []string, span time.Duration) (total judge.Caller) {
+// driveAll runs several callers at the same time and returns the sums of their results.
+func (f *simulatedFleet) driveAll(names []string, duration time.Duration) (total judge.Caller) {
 	var working sync.WaitGroup
 	drivers := make([]*judge.Caller, len(names))
 	for i, name := range names {
-		working.Go(func() { drivers[i] = f.drive(name, uint64(i), span) })
+		working.Go(func() { drivers[i] = f.drive(name, uint64(i), duration) })
 	}
 	working.Wait()
 	for _, driver := range drivers {
@@ -67,15 +68,16 @@
 	return total
 }
 
-// TestQuotasHoldInTrouble plays days on which one tenant wants several times what it may,
-// while nodes start anew, alone or all at once, are cut off or stand still.
-func TestQuotasHoldInTrouble(t *testing.T) {
+// TestQuotasHoldUnderFaults guards against a tenant that exceeds its quota while nodes restart,
+// alone or all at once, are cut off or paused.
+func TestQuotasHoldUnderFaults(t *testing.T) {
 	small := catalog.Quota{PerSecond: 4, Burst: 4}
 	for seed := uint64(1); seed <= 6; seed++ {
 		bubbletest.Test(t, func(t *testing.T) {
 			nodes := []int{fewNodes, manyNodes}[seed%2]
-			fleet := newQuotaFleet(nodes, seed%3 == 0, map[string]catalog.Quota{"amber": small, "birch": {PerSecond: 500, Burst: 500}})
-			fleet.moreTroubles = true
+			fleet := newQuotaFleet(nodes, seed%3 == 0,
+				map[string]catalog.Quota{"amber": small, "birch": {PerSecond: 500, Burst: 500}})
+			fleet.unfencedFaults = true
 			result := simulateOn(fleet, seed, 30*time.Second)
 			fleet.checkQuota("amber", small, time.Time{})
 			must.SliceEmpty(t, fleet.check.Violations, must.Sprintf("seed %d", seed))
@@ -85,12 +87,13 @@
 	}
 }
 
-// TestBelowTheQuotaNobodyIsRefused: on a calm fleet, callers of a tenant that uses half of
-// its quota are never refused, wherever they come from.
+// TestBelowTheQuotaNobodyIsRefused guards against rejected callers of tenants that use half of
+// their quotas, on any nodes of a healthy fleet.
 func TestBelowTheQuotaNobodyIsRefused(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		half := catalog.Quota{PerSecond: 20, Burst: 20}
-		fleet := newQuotaFleet(manyNodes, false, map[string]catalog.Quota{"amber": half, "birch": half, "cedar": half})
+		fleet := newQuotaFleet(manyNodes, false,
+			map[string]catalog.Quota{"amber": half, "birch": half, "cedar": half})
 		result := fleet.driveAll([]string{"c0", "c1", "c2"}, 20*time.Second)
 		must.Eq(t, 0, result.Refused)
 		used := fleet.check.Operations("amber") + fleet.check.Operations("birch") + fleet.check.Operations("cedar")
@@ -99,9 +102,9 @@
 	})
 }
 
-// TestOverTheQuotaIsRefusedAtOnce: of many callers of one tenant, those for whom there will
-// be no token soon are told so at once, when to come back, and that nothing has run; no
-// more are served than the quota allows. A higher quota holds as soon as it is known.
+// TestOverTheQuotaIsRefusedAtOnce guards against callers that wait for tokens that won't come soon.
+// They must be rejected at once with a retry delay and the promise that nothing has run. A higher
+// quota must take effect as soon as it is known.
 func TestOverTheQuotaIsRefusedAtOnce(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		const callers, reads = 10, 30
@@ -114,7 +117,7 @@
 			client, refusal := fleet.open(t, 0, "session", testTenants["amber"][0])
 			must.Nil(t, refusal)
 			for i := range reads {
-				asked := time.Now()
+				sentAt := time.Now()
 				reason := ask(client, command.Read, fmt.Sprintf("%s.%d", name, i), "READ seat")
 				if reason == nil {
 					continue
@@ -123,7 +126,7 @@
 				must.Eq(t, failure.OverQuota, reason.Kind)
 				must.True(t, reason.Kind.NotRun())
 				must.Positive(t, reason.RetryAfter)
-				if time.Since(asked) > 50*time.Millisecond {
+				if time.Since(sentAt) > 50*time.Millisecond {
 					slow.Add(1)
 				}
 				time.Sleep(50 * time.Millisecond)
@@ -147,7 +150,7 @@
 	})
 }
 
-// TestTransactionIsOneOperation: its statements and its end take one token together.
+// TestTransactionIsOneOperation guards against a transaction that takes more than one token.
 func TestTransactionIsOneOperation(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		fleet := newQuotaFleet(fewNodes, false, map[string]catalog.Quota{"amber": {PerSecond: 2, Burst: 0}})
@@ -162,8 +165,9 @@
 	})
 }
 
-// TestNewNodesTakeNoShareOfTheOthers: a node that joins a running fleet hands out no
-// tokens of its own until the others count it, and serves its callers all the same.
+// TestNewNodesTakeNoShareOfTheOthers guards against a quota that is exceeded because nodes that
+// join a running fleet issue tokens before the others count them. They must serve callers all the
+// same.
 func TestNewNodesTakeNoShareOfTheOthers(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		small := catalog.Quota{PerSecond: 20, Burst: 20}
--- a/internal/proxy/readers_test.go
+++ b/internal/proxy/readers_test.go
@@ -13,7 +13,7 @@
 	"dewknot/internal/proxy/catalog"
 )
 
-// configurationVersion returns the version in force on a node.
+// configurationVersion returns the version that is in force on a node.
 func configurationVersion(t *testing.T, node *proxy.Node) uint64 {
 	t.Helper()
 	families, err := node.Metrics().Gather()
@@ -23,7 +23,7 @@
 			return uint64(family.GetMetric()[0].GetGauge().GetValue())
 		}
 	}
-	t.Fatal("the node tells no version")
+	t.Fatal("the node has no metric dewknot_configuration_version")
 	return 0
 }
 
@@ -31,9 +31,9 @@
 	f.store.Put(managed.ConfigurationKind, "main", testConfiguration(version, testTenants))
 }
 
-// TestFewNodesWatchTheStore: in a fleet of 24 nodes in three zones, six watch the store. Changes are in
-// force everywhere at once, and within the bound after the store has stopped to
-// answer some nodes, whichever these are, or all of them for a while.
+// TestFewNodesWatchTheStore guards against more than six store readers in a fleet of 24 nodes in
+// three zones. Changes must still be in force everywhere at once, and within the bound after the
+// store has stopped answering any six nodes, or all of them for a while.
 func TestFewNodesWatchTheStore(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		const nodes, bound = 24, 4 * time.Second
@@ -41,7 +41,8 @@
 		time.Sleep(10 * time.Second)
 		before := fleet.store.Watches()
 		time.Sleep(20 * time.Second)
-		// Six nodes, waits of 0.4 of 4 s and of 7 s: 12.5 and 7.1 watches each.
+		// Six nodes watch two kinds of objects, with waits of 0.4 of 4 s and of 7 s: 12.5 and 7.1
+		// watches each.
 		must.Less(t, 130, fleet.store.Watches()-before)
 		must.Positive(t, fleet.store.Watches()-before)
 		version := uint64(1)
@@ -78,8 +79,8 @@
 	})
 }
 
-// manyRoutes returns routes of a large deployment; the timeout of the first depends
-// on the version.
+// manyRoutes returns the routes of a large deployment. The timeout of the first one depends on the
+// version.
 func manyRoutes(version uint64) map[string]catalog.Route {
 	const count = 1000
 	routes := map[string]catalog.Route{}
@@ -95,9 +96,8 @@
 	return routes
 }
 
-// TestChangesTravelAsPatches: a change of one route of a thousand, some 200 KB as
-// a whole, is in force on 24 nodes after some hundred bytes for each, also after
-// some changes in quick succession and on a node that starts later.
+// TestChangesTravelAsPatches guards against changes that are sent as a whole configuration of some
+// 200 KB instead of a patch, also after several quick changes and to a node that starts later.
 func TestChangesTravelAsPatches(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		const nodes = 24
--- a/internal/proxy/restored_test.go
+++ b/internal/proxy/restored_test.go
@@ -13,18 +13,17 @@
 	"dewknot/internal/lab/standin/managed"
 )
 
-// TestStoreComesBackOlder: after the copy, the configuration changes, a key is taken away, the
-// holder of the lease is lost and its successor replaces the primary; then the store is away for
-// a moment and comes back without any of that. No node's configuration goes back, nor that of a
-// node that starts before the operator has written again; the entries of members are written
-// again; and the next change of the primary has a higher token than any before.
-func TestStoreComesBackOlder(t *testing.T) {
+// TestStoreIsRestoredFromOlderCopy guards against a store restored from an older copy that resets
+// nodes to an older configuration, loses members' entries, or lowers the fencing tokens.
+func TestStoreIsRestoredFromOlderCopy(t *testing.T) {
 	for name, unfenced := range map[string]bool{"fenced": false, "without fences": true} {
-		t.Run(name, func(t *testing.T) { bubbletest.Test(t, func(t *testing.T) { testStoreComesBackOlder(t, unfenced) }) })
+		t.Run(name, func(t *testing.T) {
+			bubbletest.Test(t, func(t *testing.T) { testStoreIsRestoredFromOlderCopy(t, unfenced) })
+		})
 	}
 }
 
-func testStoreComesBackOlder(t *testing.T, unfenced bool) {
+func testStoreIsRestoredFromOlderCopy(t *testing.T, unfenced bool) {
 	const nodes = 6
 	fleet := prepareFleet(fleetConfig{nodes: nodes, unfenced: unfenced})
 	fleet.startNodes()
@@ -35,12 +34,12 @@
 		caller := fleet.caller(fmt.Sprintf("c%d", i), rand.New(rand.NewPCG(1, uint64(i))))
 		working.Go(func() { caller.Run(until) })
 	}
-	// This node's entry is not in the copy either: it has to write it again.
+	// The copy doesn't contain this node's entry either, so the node has to write it again.
 	fleet.store.Remove(managed.MemberKind, fleet.name(4))
 	fleet.store.Copy()
 	second := testConfiguration(2, testTenants)
 	fleet.store.Put(managed.ConfigurationKind, "main", second)
-	fleet.stopListening(5)
+	fleet.sendNoCallers(5)
 	fleet.stopNode(5)
 	fleet.group.Primary().Crash()
 	time.Sleep(8 * time.Second)
@@ -55,7 +54,8 @@
 	fleet.startNode(5)
 	time.Sleep(time.Second)
 	for i := range nodes {
-		must.Eq(t, 2, fleet.nodes[fleet.name(i)].Catalog.Current().Configuration.Version, must.Sprint(fleet.name(i)))
+		must.Eq(t, 2, fleet.nodes[fleet.name(i)].Catalog.Current().Configuration.Version,
+			must.Sprint(fleet.name(i)))
 	}
 	fleet.group.Announce()
 	fleet.store.Put(managed.ConfigurationKind, "main", second)
--- a/internal/proxy/retryafter_test.go
+++ b/internal/proxy/retryafter_test.go
@@ -10,15 +10,15 @@
 	"dewknot/internal/base/bubbletest"
 )
 
-// TestCallersAreSpread: the time to come back is never shorter than what is expected,
-// never much longer, and within its bounds.
-func TestCallersAreSpread(t *testing.T) {
+// TestRetryDelaysHaveJitter guards against callers that all retry at the same moment, and against
+// delays outside their bounds.
+func TestRetryDelaysHaveJitter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		expected := time.Duration(rapid.Int64Range(0, int64(time.Minute)).Draw(t, "expected"))
 		bounded := min(max(expected, minRetryAfter), maxRetryAfter)
-		told := withJitter(expected)
-		if told < bounded || told > bounded+bounded/2 {
-			t.Fatalf("expected %v, told %v", expected, told)
+		delay := withJitter(expected)
+		if delay < bounded || delay > bounded+bounded/2 {
+			t.Fatalf("expected %v, got a delay of %v", expected, delay)
 		}
 	})
 	seen := map[time.Duration]bool{}
@@ -28,8 +28,9 @@
 	must.Greater(t, 90, len(seen))
 }
 
-// TestHopelessWorkIsToldAtOnce: work whose place comes after its objective does not wait.
-func TestHopelessWorkIsToldAtOnce(t *testing.T) {
+// TestWorkThatCannotFinishInTimeIsRejected guards against work that waits for a slot that it would
+// get after its latency objective.
+func TestWorkThatCannotFinishInTimeIsRejected(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		r := &run{session: &session{}, arrived: time.Now()}
 		r.session.bound.TargetLatency = time.Second
--- a/internal/proxy/run.go
+++ b/internal/proxy/run.go
@@ -20,21 +20,23 @@
 const (
 	// answerMargin is reserved from a statement's timeout for sending the answer to the caller.
 	answerMargin = 30 * time.Millisecond
-	// busyAvoidance is how long other requests avoid a server that answered that it has no free slot.
+	// busyAvoidance is how long other requests avoid a server that answered that it has no free
+	// slot.
 	busyAvoidance = 25 * time.Millisecond
-	// replicaRetryPause is the first pause before a read is retried on servers that could not run it. It
-	// doubles up to maxReplicaRetryPause.
+	// replicaRetryPause is the first pause before a read is retried on servers that could not run
+	// it. It doubles up to maxReplicaRetryPause.
 	replicaRetryPause    = 10 * time.Millisecond
 	maxReplicaRetryPause = 100 * time.Millisecond
-	// A read without an answer is retried on another server after readTimeoutFactor times the expected
-	// latency, but not before minReadTimeout.
+	// A read without an answer is retried on another server after readTimeoutFactor times the
+	// expected latency, but not before minReadTimeout.
 	minReadTimeout    = 400 * time.Millisecond
 	readTimeoutFactor = 6
 	// slotWaitShare is the part of the latency objective for which new work may wait for a slot
 	// before it is rejected. The caller must still be able to retry within the objective.
 	slotWaitShare = 0.2
-	// warmingWaitShare is the part of the latency objective, counted from the arrival, for which new
-	// work may wait for a connection while the first connections to the server are being opened.
+	// warmingWaitShare is the part of the latency objective, counted from the arrival, for which
+	// new work may wait for a connection while the first connections to the server are being
+	// opened.
 	warmingWaitShare = 0.5
 )
 
@@ -53,8 +55,8 @@
 	tried         map[string]bool
 	// tenure is the tenure under which the primary is used.
 	tenure quorum.Tenure
-	// outcomeUnknown is set once an attempt got no answer, or one that was not confirmed. The statement
-	// may have run.
+	// outcomeUnknown is set once an attempt got no answer, or one that was not confirmed. The
+	// statement may have run.
 	outcomeUnknown bool
 	// charged is set while the operation holds a token of its tenant's quota. tokenSpent is set
 	// once an attempt may have used the token up.
@@ -146,7 +148,8 @@
 }
 
 // releaseSlot frees the slot that acquireSlot got, and records the outcome of the attempt.
-func (r *run) releaseSlot(target *backends.Server, lease *upstream.Lease, class admission.Class,
+func (r *run) releaseSlot(
+	target *backends.Server, lease *upstream.Lease, class admission.Class,
 	batch *upstream.Batch, result *upstream.Result,
 ) {
 	r.session.record.addAttempt(target, target.ID == r.service.Belief.Leader())
--- a/internal/proxy/seeds_test.go
+++ b/internal/proxy/seeds_test.go
@@ -12,9 +12,9 @@
 	"dewknot/internal/proxy/relay"
 )
 
-// TestNodeStartsWhileTheStoreIsDown: a node that starts while the store refuses
-// everything, or says nothing, learns configuration, directory and members from
-// those that the settings name, one of which is dark and one itself.
+// TestNodeStartsWhileTheStoreIsDown guards against a node that can't start without the store. It
+// must get configuration, directory and members from its seeds, one of which is unreachable and one
+// the node itself.
 func TestNodeStartsWhileTheStoreIsDown(t *testing.T) {
 	for name, silence := range map[string]func(f *simulatedFleet, silent bool){
 		"refuses": func(f *simulatedFleet, silent bool) { f.store.SetDown(silent) },
@@ -46,8 +46,8 @@
 	}
 }
 
-// TestSeedsThatKnowNothing: nodes that all start while the store is down tell each
-// other nothing, and serve soon after it is back.
+// TestSeedsThatKnowNothing guards against nodes that learn wrong state from each other when all
+// start while the store is down. They must serve soon after it is back.
 func TestSeedsThatKnowNothing(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		fleet := newFleet(4, 0, nothingBroken)
--- a/internal/proxy/session_test.go
+++ b/internal/proxy/session_test.go
@@ -13,7 +13,7 @@
 	"dewknot/internal/proxy/command"
 )
 
-// scriptedClient gives the results of reads in order, then ErrIdle.
+// scriptedClient returns the given results of reads in order, then ErrIdle.
 type scriptedClient struct {
 	reads   []error
 	read    int
@@ -46,8 +46,11 @@
 
 func serveScript(t *testing.T, closing, aborting bool, reads ...error) *scriptedClient {
 	t.Helper()
-	node := New(Options{DrainBound: time.Second}, Ports{}, eventlog.New(io.Discard, eventlog.Config{Node: "node", LinesPerSecond: 100}))
-	node.catalog.ApplyConfiguration(&catalog.Configuration{Version: 1, Routes: map[string]catalog.Route{"database": {Database: "database"}}})
+	node := New(Options{DrainBound: time.Second}, Ports{},
+		eventlog.New(io.Discard, eventlog.Config{Node: "node", LinesPerSecond: 100}))
+	node.catalog.ApplyConfiguration(&catalog.Configuration{
+		Version: 1, Routes: map[string]catalog.Route{"database": {Database: "database"}},
+	})
 	node.closing.Store(closing)
 	node.aborting.Store(aborting)
 	client := &scriptedClient{reads: reads}
@@ -55,18 +58,22 @@
 	return client
 }
 
-// TestCommandThatCameBeforeTheCloseIsServed: a planned stop interrupts the read,
-// and a command lies unread.
+// TestCommandThatCameBeforeTheCloseIsServed guards against a planned stop that loses a command that
+// has arrived but was not read yet.
 func TestCommandThatCameBeforeTheCloseIsServed(t *testing.T) {
 	must.Eq(t, 1, serveScript(t, true, false, ErrIdle, nil).replies)
 	must.Eq(t, 2, serveScript(t, true, false, nil, ErrIdle, nil).replies)
 	must.Eq(t, 0, serveScript(t, true, false, ErrIdle, ErrIdle, nil).replies)
 }
 
+// TestSessionIsNotReadOnceMoreNearTheEnd guards against a planned stop that reads commands after it
+// has begun to roll back transactions.
 func TestSessionIsNotReadOnceMoreNearTheEnd(t *testing.T) {
 	must.Eq(t, 0, serveScript(t, true, true, ErrIdle, nil).replies)
 }
 
+// TestInterruptWithoutAStopIsNoEnd guards against interrupts that close sessions without a planned
+// stop.
 func TestInterruptWithoutAStopIsNoEnd(t *testing.T) {
 	must.Eq(t, 2, serveScript(t, false, false, ErrIdle, nil, ErrIdle, nil, io.EOF).replies)
 }
--- a/internal/proxy/simulation_test.go
+++ b/internal/proxy/simulation_test.go
@@ -18,53 +18,54 @@
 	"dewknot/internal/lab/standin/managed"
 )
 
-// troubleKinds is how many kinds of trouble a simulated day draws from. Seeds that
-// once failed are played again, so a kind keeps its number.
-const troubleKinds = 13
+// faultKinds is the number of kinds of faults. A kind's number must not change, because tests
+// replay seeds.
+const faultKinds = 13
 
-// troublesWithoutFences is how many kinds there are besides where no fences are checked:
-// nodes that no other reaches, a loss of all nodes, a primary alone with a node.
-const troublesWithoutFences = 3
+// unfencedFaultKinds is the number of additional kinds on platforms without fencing: nodes that are
+// cut off, a restart of all nodes, and a primary that is alone with a node.
+const unfencedFaultKinds = 3
 
-// troublesOfServers holds the stand-in's own troubles by their numbers.
-var troublesOfServers = map[int]managed.Trouble{
-	0: managed.PrimaryCrash, 1: managed.PrimaryDark, 2: managed.ReplicaDeaf, 3: managed.ReplicaLate, 4: managed.AnswersLost,
-	5: managed.StoreDown, 6: managed.StoreSlow, 8: managed.PrimarySevered, 9: managed.OrdersLate,
+// standinFaults are the faults that the stand-in platform injects, by number.
+var standinFaults = map[int]managed.Trouble{
+	0: managed.PrimaryCrash, 1: managed.PrimaryDark, 2: managed.ReplicaDeaf, 3: managed.ReplicaLate,
+	4: managed.AnswersLost, 5: managed.StoreDown, 6: managed.StoreSlow, 8: managed.PrimarySevered, 9: managed.OrdersLate,
 }
 
-// serverSicknesses are the troubles of servers that still answer.
-var serverSicknesses = []managed.Trouble{managed.ServerSlow, managed.ServerGrey, managed.ServerFlaps}
+// serverDegradations are faults of servers that still answer.
+var serverDegradations = []managed.Trouble{managed.ServerSlow, managed.ServerGrey, managed.ServerFlaps}
 
-// trouble strikes the fleet once; it returns when the trouble has passed.
-func (f *simulatedFleet) trouble(random *rand.Rand) {
-	span := time.Duration(500+random.IntN(4000)) * time.Millisecond
-	if f.sickServers && random.IntN(3) == 0 {
+// injectFault injects one fault and returns when it is over.
+func (f *simulatedFleet) injectFault(random *rand.Rand) {
+	duration := time.Duration(500+random.IntN(4000)) * time.Millisecond
+	if f.degradedServers && random.IntN(3) == 0 {
 		victims := managed.Victims{Group: f.group, Store: f.store, Promoter: f.promoter}
-		victims.Strike(serverSicknesses[random.IntN(len(serverSicknesses))], random, span)
+		victims.Strike(serverDegradations[random.IntN(len(serverDegradations))], random, duration)
 		return
 	}
-	kinds := troubleKinds
-	if f.moreTroubles {
-		kinds += troublesWithoutFences
+	kinds := faultKinds
+	if f.unfencedFaults {
+		kinds += unfencedFaultKinds
 	}
 	kind := random.IntN(kinds)
-	f.log.Write("trouble", zap.Int("kind", kind), zap.Duration("span", span), zap.String("primary", f.group.Primary().ID()))
-	if trouble, found := troublesOfServers[kind]; found {
+	f.log.Write("trouble", zap.Int("kind", kind), zap.Duration("span", duration),
+		zap.String("primary", f.group.Primary().ID()))
+	if fault, found := standinFaults[kind]; found {
 		victims := managed.Victims{Group: f.group, Store: f.store, Promoter: f.promoter}
-		victims.Strike(trouble, random, span)
+		victims.Strike(fault, random, duration)
 		return
 	}
-	f.troubleOfNodes(kind, random, span)
+	f.injectNodeFault(kind, random, duration)
 }
 
-// troubleOfNodes strikes a node.
-func (f *simulatedFleet) troubleOfNodes(kind int, random *rand.Rand, span time.Duration) {
+// injectNodeFault injects a fault of a node.
+func (f *simulatedFleet) injectNodeFault(kind int, random *rand.Rand, duration time.Duration) {
 	node := random.IntN(len(f.listeners))
 	switch kind {
 	case 7:
 		server := f.group.Primary().ID()
 		f.setCut(node, server, true)
-		time.Sleep(span)
+		time.Sleep(duration)
 		f.setCut(node, server, false)
 	case 10:
 		if !f.stopNode(node) {
@@ -76,24 +77,24 @@
 		f.store.Forget()
 		f.store.LoseAnswers(2)
 		f.store.SetCut(f.name(node), true)
-		time.Sleep(span)
+		time.Sleep(duration)
 		f.store.SetCut(f.name(node), false)
 	case 12:
-		f.setMuted(f.name(node), true)
-		time.Sleep(span)
-		f.setMuted(f.name(node), false)
+		f.setPaused(f.name(node), true)
+		time.Sleep(duration)
+		f.setPaused(f.name(node), false)
 	case 13:
-		f.setApart(f.name(node), true)
-		time.Sleep(span)
-		f.setApart(f.name(node), false)
+		f.setCutOff(f.name(node), true)
+		time.Sleep(duration)
+		f.setCutOff(f.name(node), false)
 	case 14:
 		f.restartAll()
 	case 15:
-		f.aloneWithPrimary(node, span)
+		f.aloneWithPrimary(node, duration)
 	}
 }
 
-// restartAll ends all nodes at the same moment and starts them again.
+// restartAll stops all nodes at the same moment and starts them again.
 func (f *simulatedFleet) restartAll() {
 	if !f.restarting.TryLock() {
 		return
@@ -111,12 +112,12 @@
 	}
 }
 
-// aloneWithPrimary leaves a node alone with the primary, which its replicas do not reach
-// either; all others lose it.
-func (f *simulatedFleet) aloneWithPrimary(node int, span time.Duration) {
+// aloneWithPrimary makes the primary unreachable for its replicas and for all nodes but one, which
+// is cut off from the other nodes.
+func (f *simulatedFleet) aloneWithPrimary(node int, duration time.Duration) {
 	primary := f.group.Primary()
 	set := func(on bool) {
-		f.setApart(f.name(node), on)
+		f.setCutOff(f.name(node), on)
 		primary.SetSevered(on)
 		for i := range f.listeners {
 			if i != node {
@@ -125,11 +126,11 @@
 		}
 	}
 	set(true)
-	time.Sleep(span)
+	time.Sleep(duration)
 	set(false)
 }
 
-// outcome is what a simulated day came to.
+// outcome is the result of a simulated run.
 type outcome struct {
 	violations               []string
 	served, refused, unknown int
@@ -137,12 +138,14 @@
 	acknowledgedLost         int
 }
 
-// simulate plays a day with random troubles, two at a time.
-func simulate(seed uint64, nodes, synchronousReplicas int, length time.Duration, broken brokenMechanism) outcome {
+// simulate runs a new fleet under random faults, two at a time.
+func simulate(
+	seed uint64, nodes, synchronousReplicas int, length time.Duration, broken brokenMechanism,
+) outcome {
 	return simulateOn(newFleet(nodes, synchronousReplicas, broken), seed, length)
 }
 
-// simulateOn plays a day on a fleet that has just started, and stops it.
+// simulateOn runs a started fleet under random faults, and stops it.
 func simulateOn(fleet *simulatedFleet, seed uint64, length time.Duration) outcome {
 	time.Sleep(2 * time.Second)
 	until := time.Now().Add(length)
@@ -158,7 +161,7 @@
 		working.Go(func() {
 			for time.Now().Before(until.Add(-6 * time.Second)) {
 				time.Sleep(time.Duration(random.IntN(2500)) * time.Millisecond)
-				fleet.trouble(random)
+				fleet.injectFault(random)
 			}
 		})
 	}
@@ -177,9 +180,9 @@
 	return result
 }
 
-// simulatedDays is how many days a run of the tests plays; the environment
-// variable DEWKNOT_SIMULATED_DAYS plays more.
-func simulatedDays(t *testing.T) int {
+// simulatedRuns is the number of runs of each test. The environment variable DEWKNOT_SIMULATED_DAYS
+// raises it.
+func simulatedRuns(t *testing.T) int {
 	t.Helper()
 	const usual = 12
 	return int(propertytest.Plays(t, "DEWKNOT_SIMULATED_DAYS", usual))
@@ -196,71 +199,78 @@
 	return seed
 }
 
+// fewNodes connect to every server directly, manyNodes go through owners.
 const (
-	// fewNodes have connections of their own to every server, manyNodes go
-	// through owners.
 	fewNodes  = 3
 	manyNodes = 9
 )
 
-func TestPromisesHoldUnderRandomTroubles(t *testing.T) { playDays(t, fewNodes) }
+// TestPromisesHoldUnderRandomFaults guards against broken consistency promises under faults.
+func TestPromisesHoldUnderRandomFaults(t *testing.T) { testPromises(t, fewNodes) }
 
-// TestPromisesHoldWithoutFences and TestPromisesHoldWithoutFencesThroughOwners: the
-// platform checks no tokens, and replaced primaries go on.
-func TestPromisesHoldWithoutFences(t *testing.T) { playUnfencedDays(t, fewNodes) }
+// TestPromisesHoldWithoutFences guards against broken consistency promises on a platform that
+// checks no fencing tokens, where replaced primaries continue.
+func TestPromisesHoldWithoutFences(t *testing.T) { testUnfencedPromises(t, fewNodes) }
 
-func TestPromisesHoldWithoutFencesThroughOwners(t *testing.T) { playUnfencedDays(t, manyNodes) }
+// TestPromisesHoldWithoutFencesThroughOwners is the same for nodes that go through owners.
+func TestPromisesHoldWithoutFencesThroughOwners(t *testing.T) { testUnfencedPromises(t, manyNodes) }
 
-func playUnfencedDays(t *testing.T, nodes int) {
-	for day := range simulatedDays(t) {
-		seed := firstSeed(t) + uint64(day)
+func testUnfencedPromises(t *testing.T, nodes int) {
+	for run := range simulatedRuns(t) {
+		seed := firstSeed(t) + uint64(run)
 		t.Run(fmt.Sprintf("seed-%d", seed), func(t *testing.T) {
 			bubbletest.Test(t, func(t *testing.T) {
 				fleet := newUnfencedFleet(nodes, int(seed%2))
-				fleet.moreTroubles = true
+				fleet.unfencedFaults = true
 				time.Sleep(4 * time.Second)
-				played := simulateOn(fleet, seed, 40*time.Second)
-				for i, violation := range played.violations {
+				result := simulateOn(fleet, seed, 40*time.Second)
+				for i, violation := range result.violations {
 					if i < 5 {
 						t.Error(violation)
 					}
 				}
-				t.Logf("%d violations, served %d, refused %d, unknown %d, reads %d, writes %d, orders %d", len(played.violations),
-					played.served, played.refused, played.unknown, played.reads, played.writes, len(fleet.promoter.Orders()))
-				must.Greater(t, 400, played.served)
-				must.Eq(t, 0, fleet.group.LoweredTokens(), must.Sprint("orders with a lower token than one before"))
+				t.Logf("%d violations, served %d, refused %d, unknown %d, reads %d, writes %d, orders %d",
+					len(result.violations), result.served, result.refused, result.unknown, result.reads, result.writes,
+					len(fleet.promoter.Orders()))
+				must.Greater(t, 400, result.served)
+				must.Eq(t, 0, fleet.group.LoweredTokens(),
+					must.Sprint("orders with a lower token than one before"))
 			})
 		})
 	}
 }
 
-func TestPromisesHoldThroughOwners(t *testing.T) { playDays(t, manyNodes) }
+// TestPromisesHoldThroughOwners is TestPromisesHoldUnderRandomFaults for nodes that go through
+// owners.
+func TestPromisesHoldThroughOwners(t *testing.T) { testPromises(t, manyNodes) }
 
-func playDays(t *testing.T, nodes int) {
-	for day := range simulatedDays(t) {
-		seed := firstSeed(t) + uint64(day)
+func testPromises(t *testing.T, nodes int) {
+	for run := range simulatedRuns(t) {
+		seed := firstSeed(t) + uint64(run)
 		t.Run(fmt.Sprintf("seed-%d", seed), func(t *testing.T) {
 			bubbletest.Test(t, func(t *testing.T) {
-				played := simulate(seed, nodes, int(seed%2), 40*time.Second, nothingBroken)
-				for i, violation := range played.violations {
+				result := simulate(seed, nodes, int(seed%2), 40*time.Second, nothingBroken)
+				for i, violation := range result.violations {
 					if i < 5 {
 						t.Error(violation)
 					}
 				}
-				t.Logf("%d violations, served %d, refused %d, unknown %d, reads %d, writes %d, acknowledged and lost %d", len(played.violations),
-					played.served, played.refused, played.unknown, played.reads, played.writes, played.acknowledgedLost)
-				must.Greater(t, 500, played.served)
+				t.Logf("%d violations, served %d, refused %d, unknown %d, reads %d, writes %d, acknowledged and lost %d",
+					len(result.violations), result.served, result.refused, result.unknown, result.reads, result.writes,
+					result.acknowledgedLost)
+				must.Greater(t, 500, result.served)
 				if seed%2 == 1 {
-					must.Eq(t, 0, played.acknowledgedLost, must.Sprint("acknowledged commits of a service with synchronous replicas"))
+					must.Eq(t, 0, result.acknowledgedLost,
+						must.Sprint("lost acknowledged commits of a service with synchronous replicas"))
 				}
 			})
 		})
 	}
 }
 
-// TestFleetThatStartsKnowsItself: nodes that start together know each other, and
-// the lease of a service is made about once.
-func TestFleetThatStartsKnowsItself(t *testing.T) {
+// TestNodesThatStartTogetherKnowEachOther guards against nodes that start together and miss each
+// other, or all create the service's lease.
+func TestNodesThatStartTogetherKnowEachOther(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		fleet := newFleet(5, 0, nothingBroken)
 		time.Sleep(8 * time.Second)
@@ -273,8 +283,8 @@
 	})
 }
 
-// TestMembersThatAreGoneAreRemoved: a node leaves for good. Its entry goes, so that it
-// is not chosen as an owner or a reader for ever; when it returns it enters again.
+// TestMembersThatAreGoneAreRemoved guards against entries of removed nodes that stay, so that these
+// are chosen as owners or readers. A node that returns must be listed again.
 func TestMembersThatAreGoneAreRemoved(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		fleet := newFleet(5, 0, nothingBroken)
@@ -296,9 +306,8 @@
 	})
 }
 
-// TestServerWithAFullQueueIsNotLeftOutOfTheChoice: a replica that has received
-// nothing for a while answers the survey at once, the other one is busy. The
-// busy one has received all and must be promoted.
+// TestServerWithAFullQueueIsNotLeftOutOfTheChoice guards against the promotion of a replica that
+// lags but answers the survey at once, while the busy replica has all commits.
 func TestServerWithAFullQueueIsNotLeftOutOfTheChoice(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		fleet := newFleet(3, 0, nothingBroken)
@@ -318,8 +327,8 @@
 	})
 }
 
-// TestFullServerIsNotTakenForADeadOne: all connections of the primary are in
-// use by others, so no node can ask it anything.
+// TestFullServerIsNotTakenForADeadOne guards against the failover of a primary that nodes can't ask
+// because all its connections are in use.
 func TestFullServerIsNotTakenForADeadOne(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		fleet := newFleet(3, 0, nothingBroken)
@@ -340,18 +349,17 @@
 	})
 }
 
-// TestNodesThatAreCutOffGoThroughAnother: one node of five, or all but one, do not
-// reach the primary. The primary stays, and the callers of a node that is cut off
-// are served.
+// TestNodesThatAreCutOffGoThroughAnother guards against a failover, or rejected callers, when one
+// node of five or all but one don't reach the primary.
 func TestNodesThatAreCutOffGoThroughAnother(t *testing.T) {
 	for _, cut := range [][]int{{4}, {1, 2, 3, 4}} {
 		bubbletest.Test(t, func(t *testing.T) {
 			fleet := newFleet(5, 0, nothingBroken)
 			time.Sleep(8 * time.Second)
-			drive := func(span time.Duration) *judge.Caller {
+			drive := func(duration time.Duration) *judge.Caller {
 				now := time.Now().UnixNano()
 				total := fleet.caller(fmt.Sprintf("c%d", now), rand.New(rand.NewPCG(1, uint64(now))))
-				total.Run(time.Now().Add(span))
+				total.Run(time.Now().Add(duration))
 				return total
 			}
 			drive(3 * time.Second)
@@ -359,7 +367,7 @@
 				fleet.setCut(node, fleet.group.Primary().ID(), true)
 			}
 			for i := range 4 {
-				fleet.stopListening(i)
+				fleet.sendNoCallers(i)
 			}
 			drive(4 * time.Second)
 			driver := drive(4 * time.Second)
--- a/internal/proxy/slowlink_test.go
+++ b/internal/proxy/slowlink_test.go
@@ -16,32 +16,34 @@
 	"dewknot/internal/proxy/objectstore"
 )
 
-// slowLinks are the nodes' links that carry a limited number of bytes a second.
+// slowLinks are network links of the nodes and the store with limited rates.
 type slowLinks struct {
 	mutex sync.Mutex
-	// rates are bytes a second by node; a node without one has a link without a limit.
+	// rates are the limits in bytes per second by node; a node without one has no limit.
 	rates map[string]int
 	busy  map[string]time.Time
-	// stale is how old a stale listing of the store may be, lists the last ones by kind.
+	// stale is the maximum age of a stale listing of the store; lists are the latest ones by kind.
 	stale time.Duration
 	lists map[string]staleList
-	// listings counts the listings at the store by kind.
+	// listings counts the listings of the store by kind.
 	listings map[string]int
 }
 
-// staleList is a listing that the store answers with until it is too old.
+// staleList is a listing with which the store answers until it is too old.
 type staleList struct {
-	objects []objectstore.Object
-	listed  time.Time
+	objects  []objectstore.Object
+	listedAt time.Time
 }
 
-// older returns the last listing of a kind, or a new one if that is too old.
-func (l *slowLinks) older(kind string, list func() ([]objectstore.Object, error)) ([]objectstore.Object, error) {
+// cachedList returns the latest listing of a kind, or a new one if that is too old.
+func (l *slowLinks) cachedList(
+	kind string, list func() ([]objectstore.Object, error),
+) ([]objectstore.Object, error) {
 	l.mutex.Lock()
-	known, found := l.lists[kind]
+	cached, found := l.lists[kind]
 	l.mutex.Unlock()
-	if found && time.Since(known.listed) < l.stale {
-		return known.objects, nil
+	if found && time.Since(cached.listedAt) < l.stale {
+		return cached.objects, nil
 	}
 	began := time.Now()
 	objects, err := list()
@@ -53,12 +55,15 @@
 	return objects, err
 }
 
-// windowBytes is how much is under way at a time: what was sent uses the link even if
-// nobody waits for it any more.
+// windowBytes is how much is in flight at a time. Bytes in flight occupy the link even if the
+// receiver has given up.
 const windowBytes = 16 << 10
 
 func newSlowLinks() *slowLinks {
-	return &slowLinks{rates: map[string]int{}, busy: map[string]time.Time{}, lists: map[string]staleList{}, listings: map[string]int{}}
+	return &slowLinks{
+		rates: map[string]int{}, busy: map[string]time.Time{},
+		lists: map[string]staleList{}, listings: map[string]int{},
+	}
 }
 
 func (l *slowLinks) limit(node string, rate int) {
@@ -67,7 +72,7 @@
 	l.rates[node] = rate
 }
 
-// reserve puts bytes behind all that is on a link and returns when they have passed.
+// reserve queues bytes on a link and returns when they have passed.
 func (l *slowLinks) reserve(node string, size int) time.Time {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -83,7 +88,7 @@
 	return l.busy[node]
 }
 
-// carry brings bytes over the links of some nodes, unless ctx ends before.
+// carry transfers bytes over the links of some nodes, unless ctx ends first.
 func (l *slowLinks) carry(ctx context.Context, size int, nodes ...string) error {
 	for size > 0 {
 		part := min(size, windowBytes)
@@ -104,26 +109,26 @@
 	return nil
 }
 
-// storeLink names the store's own link.
+// storeLink is the name of the store's own link.
 const storeLink = "store"
 
-// listed counts a listing at the store.
-func (l *slowLinks) listed(kind string) {
+// countListing counts a listing of the store.
+func (l *slowLinks) countListing(kind string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.listings[kind]++
 }
 
-// takeListings returns the listings at the store since it was last called.
+// takeListings returns the listings of the store since the last call.
 func (l *slowLinks) takeListings() map[string]int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	taken := l.listings
+	counts := l.listings
 	l.listings = map[string]int{}
-	return taken
+	return counts
 }
 
-// linkedStore is the store behind a node's link.
+// linkedStore is the store as reached over a node's link.
 type linkedStore struct {
 	*managed.Client
 	links *slowLinks
@@ -132,7 +137,7 @@
 
 // List implements objectstore.Store.
 func (s *linkedStore) List(ctx context.Context, kind string) ([]objectstore.Object, era.Revision, error) {
-	s.links.listed(kind)
+	s.links.countListing(kind)
 	objects, revision, err := s.Client.List(ctx, kind)
 	if err == nil {
 		err = s.links.carry(ctx, contentBytes(objects), s.node, storeLink)
@@ -142,10 +147,12 @@
 
 // ListStale implements objectstore.Store.
 func (s *linkedStore) ListStale(ctx context.Context, kind string) ([]objectstore.Object, error) {
-	s.links.listed(kind)
-	objects, err := s.links.older(kind, func() ([]objectstore.Object, error) { return s.Client.ListStale(ctx, kind) })
+	s.links.countListing(kind)
+	objects, err := s.links.cachedList(kind, func() ([]objectstore.Object, error) {
+		return s.Client.ListStale(ctx, kind)
+	})
 	if err == nil {
-		// The answer's head comes at once.
+		// The header of the answer arrives at once.
 		stall.Received(ctx, 0)
 		err = s.links.carry(ctx, contentBytes(objects), s.node, storeLink)
 	}
@@ -153,7 +160,9 @@
 }
 
 // Watch implements objectstore.Store.
-func (s *linkedStore) Watch(ctx context.Context, kind string, after era.Revision, wait time.Duration) ([]objectstore.Object, era.Revision, error) {
+func (s *linkedStore) Watch(
+	ctx context.Context, kind string, after era.Revision, wait time.Duration,
+) ([]objectstore.Object, era.Revision, error) {
 	objects, revision, err := s.Client.Watch(ctx, kind, after, wait)
 	if err == nil {
 		err = s.links.carry(ctx, contentBytes(objects), s.node, storeLink)
@@ -169,16 +178,15 @@
 	return size
 }
 
-// TestNodesOnSlowLinksKeepUp: the links of some nodes, readers of the store among them,
-// need longer for a large configuration than a peer or the store is waited for. They
-// have each version within its bound all the same, also after a restart and while the
-// store is down.
+// TestNodesOnSlowLinksKeepUp guards against nodes, store readers among them, that miss a
+// configuration version because their links need longer for it than the timeout of a request. Each
+// version must be in force within its bound, also after a restart and while the store is down.
 func TestNodesOnSlowLinksKeepUp(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		const (
 			nodes = 24
 			bound = 4 * time.Second
-			// slow takes some 1.5 s for the configuration of 1,000 routes.
+			// slow is a rate at which the configuration of 1,000 routes takes about 1.5 s.
 			slow = 150 << 10
 		)
 		fleet := newFleet(nodes, 0, nothingBroken)
@@ -204,7 +212,7 @@
 		inForce(bound)
 		change(testRoutes)
 		inForce(bound)
-		// Large again, and changed while it is on its way.
+		// The configuration is large again, and changes while it is being transferred.
 		change(manyRoutes(4))
 		time.Sleep(500 * time.Millisecond)
 		change(manyRoutes(5))
--- a/internal/proxy/start_test.go
+++ b/internal/proxy/start_test.go
@@ -11,8 +11,8 @@
 	"dewknot/internal/lab/judge"
 )
 
-// TestCallersOfANodeThatStartsAreHeld: a caller that comes back before the node knows a
-// configuration is not refused, and is served once the slow store has told one.
+// TestCallersOfANodeThatStartsAreHeld guards against rejected callers on a node that has not loaded
+// its configuration yet because the store is slow.
 func TestCallersOfANodeThatStartsAreHeld(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		fleet := newFleet(fleetOfFive, 0, nothingBroken)
@@ -33,8 +33,8 @@
 	})
 }
 
-// TestCallersAreNotHeldForEver: the store tells nothing at all, so a caller is told that
-// the node is not ready while it still listens.
+// TestCallersAreNotHeldForEver guards against callers that wait past their own timeout for a node
+// that can't load its configuration.
 func TestCallersAreNotHeldForEver(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		fleet := prepareFleet(fleetConfig{nodes: 1})
--- a/internal/proxy/calls_test.go
+++ b/internal/proxy/storecalls_test.go
@@ -10,7 +10,7 @@
 	"dewknot/internal/proxy"
 )
 
-// callsByName counts a node's calls to the store by what they ask.
+// callsByName counts a node's calls to the store by the label "call".
 func callsByName(t *testing.T, node *proxy.Node) map[string]int {
 	t.Helper()
 	counted := map[string]int{}
@@ -31,10 +31,10 @@
 	return counted
 }
 
-// TestFirstStartWithOldLists: the store tells a fleet of 60 that starts who has entered as
-// it was up to a second ago. Nodes do not take themselves for readers by a list in part:
-// but for a few, only the six readers list and watch.
-func TestFirstStartWithOldLists(t *testing.T) {
+// TestFirstStartWithStaleLists guards against nodes that consider themselves readers because the
+// store answered with an incomplete list of members. In a starting fleet of 60, only about the six
+// readers may list and watch.
+func TestFirstStartWithStaleLists(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		const nodes, readers = 60, 6
 		fleet := prepareFleet(fleetConfig{nodes: nodes})
@@ -56,9 +56,9 @@
 	})
 }
 
-// TestNodesMakeFewCallsToTheStore: of a fleet of 60 that starts, only the six readers list
-// and watch; each node enters itself once, and makes some cheap listings. A node that
-// starts again in the running fleet makes cheap calls only.
+// TestNodesMakeFewCallsToTheStore guards against calls to the store that grow with the fleet. Only
+// the six readers may list and watch; every other node may create its entry and make cheap calls
+// only, also when it restarts in the running fleet.
 func TestNodesMakeFewCallsToTheStore(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		const nodes, readers = 60, 6
@@ -76,14 +76,14 @@
 				watching++
 			}
 		}
-		// One entry each, and the service's lease, which two nodes may try to make.
+		// One entry for each node, and the service's lease, which two nodes may try to create.
 		must.Between(t, nodes+1, creating, nodes+2)
 		must.LessEq(t, readers, listing)
 		must.LessEq(t, readers, watching)
-		again := "node-0"
+		restarted := "node-0"
 		for i := range nodes {
 			if callsByName(t, fleet.nodes[fleet.name(i)])["watch"] == 0 {
-				again = fleet.name(i)
+				restarted = fleet.name(i)
 				fleet.stopNode(i)
 				time.Sleep(7 * time.Second)
 				fleet.startNode(i)
@@ -91,10 +91,10 @@
 			}
 		}
 		time.Sleep(100 * time.Millisecond)
-		must.True(t, fleet.nodes[again].Ready())
+		must.True(t, fleet.nodes[restarted].Ready())
 		time.Sleep(10 * time.Second)
-		calls := callsByName(t, fleet.nodes[again])
-		// Cheap calls only: listings, and two questions for one object each.
+		calls := callsByName(t, fleet.nodes[restarted])
+		// Only cheap calls: listings, and two reads of a single object.
 		must.LessEq(t, 2, calls["get_stale"], must.Sprint(calls))
 		delete(calls, "get_stale")
 		must.MapLen(t, 1, calls, must.Sprint(calls))
--- a/internal/proxy/tenant_metrics_test.go
+++ b/internal/proxy/tenant_metrics_test.go
@@ -10,8 +10,8 @@
 	"dewknot/internal/base/failure"
 )
 
-// TestSeriesOfTenantsAreBounded: 10,000 tenants make some twenty times three series, and
-// none is left out of the sum.
+// TestSeriesOfTenantsAreBounded guards against a series for each of 10,000 tenants, and against
+// tenants that are missing from the total.
 func TestSeriesOfTenantsAreBounded(t *testing.T) {
 	collector := newTenantCollector()
 	const tenants = 10_000
@@ -28,13 +28,13 @@
 	must.Len(t, 1, families)
 	series := families[0].GetMetric()
 	must.Len(t, 3*(shownTenants+1), series)
-	sum, loudest := 0.0, 0.0
-	for _, one := range series {
-		sum += one.GetCounter().GetValue()
-		if one.GetLabel()[1].GetValue() == "t77" && one.GetLabel()[0].GetValue() == "over_quota" {
-			loudest = one.GetCounter().GetValue()
+	sum, overQuota := 0.0, 0.0
+	for _, sample := range series {
+		sum += sample.GetCounter().GetValue()
+		if sample.GetLabel()[1].GetValue() == "t77" && sample.GetLabel()[0].GetValue() == "over_quota" {
+			overQuota = sample.GetCounter().GetValue()
 		}
 	}
 	must.Eq(t, float64(tenants+5), sum)
-	must.Eq(t, 5.0, loudest)
+	must.Eq(t, 5.0, overQuota)
 }
--- a/internal/proxy/tenants_test.go
+++ b/internal/proxy/tenants_test.go
@@ -19,27 +19,27 @@
 	"dewknot/internal/proxy/command"
 )
 
-// testTenants are the tenants of all simulated fleets, with their keys.
+// testTenants are the tenants of all simulated fleets, with their API keys.
 var testTenants = map[string][]string{
 	"amber": {"amber-key-7f31"}, "birch": {"birch-key-a0c4", "birch-key-19de"}, "cedar": {"cedar-key-55b2"},
 }
 
-// tenantOf spreads callers over the tenants by their names.
+// tenantOf assigns a caller to a tenant by the last character of its name.
 func tenantOf(caller string) string {
 	names := []string{"amber", "birch", "cedar"}
 	return names[int(caller[len(caller)-1])%len(names)]
 }
 
-// testConfiguration returns a configuration of the fleets with keys by tenant.
+// testConfiguration returns a configuration of the simulated fleets with keys by tenant.
 func testConfiguration(version uint64, keys map[string][]string) *catalog.Configuration {
 	configuration := &catalog.Configuration{
 		Version: version, Routes: testRoutes, TransactionIdle: time.Second,
 		Services: map[string]catalog.Service{testService: {Name: testService, MaxConnections: 24}},
 	}
 	var tenants []catalog.Tenant
-	for name, held := range keys {
+	for name, tenantKeys := range keys {
 		tenant := catalog.Tenant{Name: name}
-		for _, key := range held {
+		for _, key := range tenantKeys {
 			tenant.Keys = append(tenant.Keys, catalog.DigestKey(key))
 		}
 		tenants = append(tenants, tenant)
@@ -50,15 +50,14 @@
 	return configuration
 }
 
-// without returns the test tenants' keys but for those of one, who has none left.
+// without returns testTenants with all keys of one tenant removed.
 func without(tenant string) map[string][]string {
 	keys := maps.Clone(testTenants)
 	keys[tenant] = nil
 	return keys
 }
 
-// open opens a session of a database on a node with a key, and returns the failure if it
-// is refused.
+// open opens a session on a node. If it is rejected, it returns the failure.
 func (f *simulatedFleet) open(t *testing.T, node int, database, key string) (*memoryClient, *failure.Error) {
 	t.Helper()
 	f.mutex.Lock()
@@ -83,7 +82,7 @@
 	return reason.Kind
 }
 
-// TestOnlyKnownKeysAreServed: a session needs a key that some tenant holds.
+// TestOnlyKnownKeysAreServed guards against sessions without a valid key.
 func TestOnlyKnownKeysAreServed(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		fleet := newFleet(fewNodes, 0, nothingBroken)
@@ -92,7 +91,10 @@
 			_, refusal := fleet.open(t, 0, "session", key)
 			must.Nil(t, refusal)
 		}
-		for _, key := range []string{"", "birch", "birch-key-a0c", strings.Repeat("k", 64<<10), "birch-key-a0c4 "} {
+		for _, key := range []string{
+			"", "birch", "birch-key-a0c", strings.Repeat("k", 64<<10),
+			"birch-key-a0c4 ",
+		} {
 			began := time.Now()
 			_, refusal := fleet.open(t, 0, "session", key)
 			must.Eq(t, failure.UnknownKey, kindOf(refusal))
@@ -102,33 +104,33 @@
 	})
 }
 
-// TestKeyTakenAway takes a tenant's keys away: what it does next is refused, an open
-// transaction is rolled back, and other tenants go on.
-func TestKeyTakenAway(t *testing.T) {
+// TestKeyIsRevoked guards against a tenant that goes on after its keys were revoked: its commands
+// must be rejected and its open transaction rolled back. Other tenants must not be affected.
+func TestKeyIsRevoked(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		fleet := newFleet(fewNodes, 0, nothingBroken)
 		time.Sleep(3 * time.Second)
-		resting, _ := fleet.open(t, 0, "current", "amber-key-7f31")
-		inside, _ := fleet.open(t, 1, "current", "amber-key-7f31")
+		idle, _ := fleet.open(t, 0, "current", "amber-key-7f31")
+		inTransaction, _ := fleet.open(t, 1, "current", "amber-key-7f31")
 		other, _ := fleet.open(t, 1, "current", "cedar-key-55b2")
-		must.Nil(t, ask(inside, command.Begin, "b", "BEGIN"))
-		must.Nil(t, ask(inside, command.Write, "w", "WRITE seat taken"))
+		must.Nil(t, ask(inTransaction, command.Begin, "b", "BEGIN"))
+		must.Nil(t, ask(inTransaction, command.Write, "w", "WRITE seat taken"))
 		fleet.store.Put(managed.ConfigurationKind, "main", testConfiguration(2, without("amber")))
 		time.Sleep(time.Second)
-		must.Eq(t, failure.UnknownKey, kindOf(ask(resting, command.Read, "r", "READ seat")))
-		must.Eq(t, failure.TransactionLost, kindOf(ask(inside, command.Commit, "c", "COMMIT")))
-		must.Eq(t, failure.UnknownKey, kindOf(ask(inside, command.Read, "r2", "READ seat")))
+		must.Eq(t, failure.UnknownKey, kindOf(ask(idle, command.Read, "r", "READ seat")))
+		must.Eq(t, failure.TransactionLost, kindOf(ask(inTransaction, command.Commit, "c", "COMMIT")))
+		must.Eq(t, failure.UnknownKey, kindOf(ask(inTransaction, command.Read, "r2", "READ seat")))
 		must.Nil(t, ask(other, command.Read, "r3", "READ seat"))
-		must.Eq(t, 0, fleet.check.Writes, must.Sprint("the transaction of a key that was taken away was committed"))
+		must.Eq(t, 0, fleet.check.Writes, must.Sprint("committed writes of a revoked key"))
 		_, refusal := fleet.open(t, 2, "current", "amber-key-7f31")
 		must.Eq(t, failure.UnknownKey, kindOf(refusal))
 		fleet.end()
 	})
 }
 
-// TestKeyTakenAwayWhileTheStoreRefusesSome: a node that the store does not serve learns
-// from the others that a key was taken away, within the configuration's bound.
-func TestKeyTakenAwayWhileTheStoreRefusesSome(t *testing.T) {
+// TestKeyIsRevokedWhileTheStoreRejectsSome guards against a node that accepts a revoked key after
+// the configuration's bound because the store doesn't answer that node.
+func TestKeyIsRevokedWhileTheStoreRejectsSome(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		fleet := newFleet(fewNodes, 0, nothingBroken)
 		time.Sleep(3 * time.Second)
@@ -141,9 +143,8 @@
 	})
 }
 
-// TestNewKeyIsFoundAtOnce: a caller whose key is new comes to a node that the store does
-// not serve, before that node has heard of the change. It is not told that its key is
-// unknown.
+// TestNewKeyIsFoundAtOnce guards against a rejected new key on a node that has not received the
+// change yet, because the store doesn't answer that node.
 func TestNewKeyIsFoundAtOnce(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		fleet := newFleet(fewNodes, 0, nothingBroken)
@@ -160,8 +161,7 @@
 	})
 }
 
-// TestKeysReachNoLog plays a day with everything logged: neither a key nor its digest is
-// written anywhere.
+// TestKeysReachNoLog guards against keys or their digests in the event log.
 func TestKeysReachNoLog(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		fleet := prepareFleet(fleetConfig{nodes: fewNodes})
@@ -182,15 +182,17 @@
 			digest := catalog.DigestKey(secret)
 			text, err := digest.MarshalText()
 			must.NoError(t, err)
-			must.False(t, bytes.Contains(written.Bytes(), []byte(secret)), must.Sprint("a log line holds a key"))
-			must.False(t, bytes.Contains(written.Bytes(), text[:16]), must.Sprint("a log line holds a key's digest"))
+			must.False(t, bytes.Contains(written.Bytes(), []byte(secret)),
+				must.Sprint("a log line holds a key"))
+			must.False(t, bytes.Contains(written.Bytes(), text[:16]),
+				must.Sprint("a log line holds a key's digest"))
 		}
 		must.Positive(t, bytes.Count(written.Bytes(), []byte("\n")))
 	})
 }
 
-// TestManyTenantsShareFewConnections: twelve times as many tenants as a server has
-// connections, all at work on one node at the same time; each is served.
+// TestManyTenantsShareFewConnections guards against tenants that are not served on a node with
+// twelve times as many active tenants as connections to a server.
 func TestManyTenantsShareFewConnections(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		const tenants = 288
@@ -209,25 +211,25 @@
 			clients = append(clients, client)
 		}
 		random := rand.New(rand.NewPCG(1, 1))
-		failed, asked := 0, 0
+		failed, total := 0, 0
 		for round := range 20 {
 			for i, client := range clients {
 				if random.IntN(tenants) < 24 {
 					id := fmt.Sprintf("%d.%d", round, i)
-					asked++
+					total++
 					if ask(client, command.Read, id, "READ seat") != nil {
 						failed++
 					}
 				}
 			}
 		}
-		must.Less(t, asked/50+1, failed)
+		must.Less(t, total/50+1, failed)
 		fleet.end()
 	})
 }
 
-// TestStrictRevocation: a node that has not heard for longer than the bound which keys are
-// in force serves none of them, and says that nothing has run; without it, it goes on.
+// TestStrictRevocation guards against a node that accepts keys although its knowledge of the valid
+// keys is older than the bound. Without the setting, the node must go on.
 func TestStrictRevocation(t *testing.T) {
 	for _, strict := range []bool{false, true} {
 		bubbletest.Test(t, func(t *testing.T) {
@@ -237,7 +239,7 @@
 			session, refusal := fleet.open(t, 0, "session", "amber-key-7f31")
 			must.Nil(t, refusal)
 			fleet.store.SetCut("node-0", true)
-			// What is heard counts from the beginning of a watch, which takes up to 2.2 s.
+			// A watch that takes up to 2.2 s counts as heard from its beginning.
 			time.Sleep(2 * time.Second)
 			must.Nil(t, ask(session, command.Read, "r1", "READ seat"))
 			time.Sleep(8 * time.Second)
--- a/internal/proxy/trace_test.go
+++ b/internal/proxy/trace_test.go
@@ -17,22 +17,25 @@
 	"dewknot/internal/proxy/failover"
 )
 
-// traceRecorder keeps the traces of a fleet's failover machines.
+// traceRecorder records the traces of a fleet's failover state machines.
 type traceRecorder struct {
 	mutex   sync.Mutex
 	content map[string]*bytes.Buffer
 	writers []*trace.FailoverWriter
-	// agreed is set if the nodes agree on tenures.
+	// agreed is set if the nodes agree on tenures by quorum.
 	agreed bool
 }
 
-// recordTraces makes a fleet's nodes that start from now on record their machines.
+// recordTraces records the failover state machines of all nodes that start from now on.
 func (f *simulatedFleet) recordTraces() {
 	f.traces = &traceRecorder{content: map[string]*bytes.Buffer{}, agreed: f.agreed}
 }
 
-// of returns how one life of a node records its machines; nil if it does not.
-func (r *traceRecorder) of(node, life string) func(service string, rank time.Duration) backends.FailoverTrace {
+// of returns the function that records the machines of one incarnation of a node; nil if the
+// recorder is nil.
+func (r *traceRecorder) of(
+	node, incarnation string,
+) func(service string, rank time.Duration) backends.FailoverTrace {
 	if r == nil {
 		return nil
 	}
@@ -40,15 +43,15 @@
 		r.mutex.Lock()
 		defer r.mutex.Unlock()
 		content := &bytes.Buffer{}
-		writer := trace.NewFailoverWriter(content, trace.FailoverSettings{Node: node, Life: life, Rank: rank, Agreed: r.agreed})
-		r.content[fmt.Sprintf("%s-%s-%s", service, node, life)] = content
+		writer := trace.NewFailoverWriter(content,
+			trace.FailoverSettings{Node: node, Life: incarnation, Rank: rank, Agreed: r.agreed})
+		r.content[fmt.Sprintf("%s-%s-%s", service, node, incarnation)] = content
 		r.writers = append(r.writers, writer)
 		return &lockedTrace{recorder: r, writer: writer}
 	}
 }
 
-// lockedTrace is one machine's trace; machines of many nodes and the test's end share
-// the recorder.
+// lockedTrace is the trace of one machine. The machines of all nodes share the recorder.
 type lockedTrace struct {
 	recorder *traceRecorder
 	writer   *trace.FailoverWriter
@@ -61,8 +64,9 @@
 	l.writer.Step(at, event, effects)
 }
 
-// replayAll replays all traces, demands that they show what the live machines did, and
-// returns how many orders they hold. With DEWKNOT_TRACES they are written to that folder.
+// replayAll checks that a replay of each trace has the same effects as the live machine, and
+// returns the number of promotion orders. With DEWKNOT_TRACES it also writes the traces to that
+// directory.
 func (r *traceRecorder) replayAll(t *testing.T) int {
 	t.Helper()
 	r.mutex.Lock()
@@ -83,9 +87,9 @@
 	return orders
 }
 
-// TestFailoverOfRecordedDaysReplays: what the failover machines of a day with random
-// troubles were told gives the same orders again. The seeds once lost commits.
-func TestFailoverOfRecordedDaysReplays(t *testing.T) {
+// TestFailoverOfRecordedRunsReplays guards against failover machines whose recorded events don't
+// lead to the same orders again.
+func TestFailoverOfRecordedRunsReplays(t *testing.T) {
 	for _, seed := range []uint64{9, 11} {
 		bubbletest.Test(t, func(t *testing.T) {
 			fleet := newRecordedFleet(fewNodes, 1)
--- a/internal/proxy/unfenced_test.go
+++ b/internal/proxy/unfenced_test.go
@@ -13,27 +13,26 @@
 	"dewknot/internal/lab/judge"
 )
 
-// unfencedScene is a trouble on a platform that checks no tokens, played under callers'
-// work.
-type unfencedScene struct {
+// unfencedScenario is a fault on a platform without fencing, while callers are at work.
+type unfencedScenario struct {
 	nodes int
-	// strike causes the trouble; it returns when it has passed.
-	strike func(f *simulatedFleet)
-	// after is how long the callers go on.
+	// inject causes the fault and returns when it is over.
+	inject func(f *simulatedFleet)
+	// after is how long the callers continue after the fault.
 	after time.Duration
 }
 
-// playScene plays a scene and returns the fleet, stopped, with its callers. With agreed
-// false the nodes believe what a server says of itself, as where fences are checked.
-func playScene(scene unfencedScene, agreed bool) (*simulatedFleet, []*judge.Caller) {
-	fleet := prepareFleet(fleetConfig{nodes: scene.nodes, unfenced: true, disagreed: !agreed})
+// runScenario simulates a scenario and returns the stopped fleet and its callers. Without agreed,
+// the nodes trust the servers' own statements, as on platforms with fencing.
+func runScenario(scenario unfencedScenario, agreed bool) (*simulatedFleet, []*judge.Caller) {
+	fleet := prepareFleet(fleetConfig{nodes: scenario.nodes, unfenced: true, trustsServers: !agreed})
 	fleet.startNodes()
 	time.Sleep(8 * time.Second)
 	var callers []*judge.Caller
 	var working sync.WaitGroup
 	ended := make(chan struct{})
 	until := time.Now().Add(time.Hour)
-	for i := range 4 * scene.nodes {
+	for i := range 4 * scenario.nodes {
 		caller := fleet.caller(fmt.Sprintf("c%d", i), rand.New(rand.NewPCG(7, uint64(i))))
 		callers = append(callers, caller)
 		working.Go(func() {
@@ -48,8 +47,8 @@
 		})
 	}
 	time.Sleep(2 * time.Second)
-	scene.strike(fleet)
-	time.Sleep(scene.after)
+	scenario.inject(fleet)
+	time.Sleep(scenario.after)
 	close(ended)
 	working.Wait()
 	fleet.end()
@@ -63,11 +62,12 @@
 	return b
 }
 
-// splitPrimary leaves one node alone with the primary; the others replace it.
+// splitPrimary leaves one node alone with the primary, which the other nodes replace.
 func splitPrimary(f *simulatedFleet) { f.aloneWithPrimary(0, 5*time.Second) }
 
-// darkPrimary goes dark with its connections open, is replaced, and comes back unchanged.
-func darkPrimary(f *simulatedFleet) {
+// unreachablePrimary makes the primary unreachable while its connections stay open. It is replaced,
+// and returns with its state.
+func unreachablePrimary(f *simulatedFleet) {
 	primary := f.group.Primary()
 	primary.SetReachable(false)
 	primary.SetSevered(true)
@@ -77,23 +77,23 @@
 	primary.SetSevered(false)
 }
 
-// halfCutPrimary is lost to its replicas and to most nodes, not to two of them.
-func halfCutPrimary(f *simulatedFleet) {
+// partlyCutPrimary cuts the primary off from its replicas and from all nodes but two.
+func partlyCutPrimary(f *simulatedFleet) {
 	primary := f.group.Primary()
 	set := func(on bool) {
 		primary.SetSevered(on)
 		for i := 2; i < len(f.listeners); i++ {
 			f.setCut(i, primary.ID(), on)
 		}
-		f.setApart(f.name(0), on)
-		f.setApart(f.name(1), on)
+		f.setCutOff(f.name(0), on)
+		f.setCutOff(f.name(1), on)
 	}
 	set(true)
 	time.Sleep(6 * time.Second)
 	set(false)
 }
 
-// lateOrders are carried out seconds after the call that gave them was given up.
+// lateOrders makes the platform execute promotions seconds after their calls were abandoned.
 func lateOrders(f *simulatedFleet) {
 	f.promoter.SetLate(2 * time.Second)
 	f.group.Primary().Crash()
@@ -103,38 +103,39 @@
 	f.group.Primary().Crash()
 }
 
-// lostWithoutStore: the store is down, a node is gone, and the primary is split off.
+// lostWithoutStore makes the primary unreachable while the store is down and a node is gone.
 func lostWithoutStore(f *simulatedFleet) {
 	f.store.SetDown(true)
-	f.stopListening(len(f.listeners) - 1)
+	f.sendNoCallers(len(f.listeners) - 1)
 	f.stopNode(len(f.listeners) - 1)
 	time.Sleep(2 * time.Second)
-	darkPrimary(f)
+	unreachablePrimary(f)
 	f.store.SetDown(false)
 }
 
-// allRestarted: all nodes lose their memory while an order is on its way.
+// allRestarted restarts all nodes without their state during a promotion.
 func allRestarted(f *simulatedFleet) {
 	f.group.Primary().Crash()
 	time.Sleep(700 * time.Millisecond)
 	f.restartAll()
 }
 
-var unfencedScenes = map[string]unfencedScene{
-	"split primary":               {nodes: 5, strike: splitPrimary, after: 5 * time.Second},
-	"dark primary that returns":   {nodes: 5, strike: darkPrimary, after: 5 * time.Second},
-	"primary with two nodes":      {nodes: 7, strike: halfCutPrimary, after: 5 * time.Second},
-	"late orders":                 {nodes: 5, strike: lateOrders, after: 12 * time.Second},
-	"store and a node are lost":   {nodes: 6, strike: lostWithoutStore, after: 8 * time.Second},
-	"all nodes lose their memory": {nodes: 5, strike: allRestarted, after: 8 * time.Second},
+var unfencedScenarios = map[string]unfencedScenario{
+	"split primary":                    {nodes: 5, inject: splitPrimary, after: 5 * time.Second},
+	"unreachable primary that returns": {nodes: 5, inject: unreachablePrimary, after: 5 * time.Second},
+	"primary with two nodes":           {nodes: 7, inject: partlyCutPrimary, after: 5 * time.Second},
+	"late orders":                      {nodes: 5, inject: lateOrders, after: 12 * time.Second},
+	"store and a node are lost":        {nodes: 6, inject: lostWithoutStore, after: 8 * time.Second},
+	"all nodes lose their state":       {nodes: 5, inject: allRestarted, after: 8 * time.Second},
 }
 
-// TestReplacedPrimaryIsNotBelieved plays the scenes with the agreement.
-func TestReplacedPrimaryIsNotBelieved(t *testing.T) {
-	for name, scene := range unfencedScenes {
+// TestReplacedPrimaryIsNotTrusted guards against answers of a replaced primary that are accepted on
+// a platform without fencing.
+func TestReplacedPrimaryIsNotTrusted(t *testing.T) {
+	for name, scenario := range unfencedScenarios {
 		t.Run(name, func(t *testing.T) {
 			bubbletest.Test(t, func(t *testing.T) {
-				fleet, callers := playScene(scene, true)
+				fleet, callers := runScenario(scenario, true)
 				must.SliceEmpty(t, fleet.check.Violations)
 				must.Positive(t, len(fleet.promoter.Orders()))
 				must.Eq(t, 0, fleet.group.LoweredTokens())
@@ -148,42 +149,44 @@
 	}
 }
 
-// TestReplacedPrimaryIsBelievedWithoutAgreement: the scenes in which a replaced primary
-// still has callers break promises if nodes believe its word, so the check above sees it.
-func TestReplacedPrimaryIsBelievedWithoutAgreement(t *testing.T) {
+// TestReplacedPrimaryIsTrustedWithoutAgreement guards against scenarios that hide the fault:
+// without the agreement on tenures, a replaced primary that still has callers must lead to
+// violations.
+func TestReplacedPrimaryIsTrustedWithoutAgreement(t *testing.T) {
 	for _, name := range []string{"split primary", "primary with two nodes"} {
 		t.Run(name, func(t *testing.T) {
 			bubbletest.Test(t, func(t *testing.T) {
-				fleet, _ := playScene(unfencedScenes[name], false)
+				fleet, _ := runScenario(unfencedScenarios[name], false)
 				must.Positive(t, len(fleet.check.Violations))
 			})
 		})
 	}
 }
 
-// TestPlannedChangeLosesNothing: the primary announces its end while its replicas receive
-// late. It steps down, the target receives the rest, and only then it is ordered.
+// TestPlannedChangeLosesNothing guards against commits that a planned change of the primary loses
+// while its replicas lag. The primary must step down, and the target receive the rest, before the
+// target is promoted.
 func TestPlannedChangeLosesNothing(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
-		scene := unfencedScene{nodes: 5, after: 3 * time.Second, strike: func(f *simulatedFleet) {
+		scenario := unfencedScenario{nodes: 5, after: 3 * time.Second, inject: func(f *simulatedFleet) {
 			drained := f.group.Primary()
 			drained.Drain()
 			time.Sleep(4 * time.Second)
 			must.NotEq(t, drained.ID(), f.group.Primary().ID())
 			drained.Leave()
 		}}
-		fleet, _ := playScene(scene, true)
+		fleet, _ := runScenario(scenario, true)
 		must.SliceEmpty(t, fleet.check.Violations)
 		must.Eq(t, 0, fleet.check.AcknowledgedLost())
 	})
 }
 
-// TestFailoverGapWithoutFences: while all nodes answer, writes stand still for the
-// promotion and little more after a primary has gone dark.
+// TestFailoverGapWithoutFences guards against writes that stop for much longer than the promotion
+// takes after the primary has become unreachable.
 func TestFailoverGapWithoutFences(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		var gap time.Duration
-		scene := unfencedScene{nodes: 5, after: 4 * time.Second, strike: func(f *simulatedFleet) {
+		scenario := unfencedScenario{nodes: 5, after: 4 * time.Second, inject: func(f *simulatedFleet) {
 			f.group.Primary().SetReachable(false)
 			began := time.Now()
 			time.Sleep(300 * time.Millisecond)
@@ -193,10 +196,10 @@
 			}
 			gap = time.Since(began)
 		}}
-		fleet, _ := playScene(scene, true)
+		fleet, _ := runScenario(scenario, true)
 		must.SliceEmpty(t, fleet.check.Violations)
-		t.Logf("gap %s, of it 600 ms the platform's", gap)
-		// The primary's silence is noticed after 250 ms and asked about for 250 ms more.
+		t.Logf("gap %s, of which the platform takes 600 ms", gap)
+		// The primary's silence is noticed after 250 ms, and other nodes are asked for 250 ms more.
 		must.Less(t, 600*time.Millisecond+900*time.Millisecond, gap)
 	})
 }
