--- a/internal/proxy/headroom.go
+++ b/internal/proxy/headroom.go
@@ -125,8 +125,7 @@
 // catchUp returns how long the first replica is expected to take to reach the minimum position, and
 // false without an estimate. It skips replicas at which work waits longer than allowed.
 func (r *run) catchUp(
-	primary *backends.Server, minimum freshness.Floor, now time.Time,
-	allowed time.Duration,
+	primary *backends.Server, minimum freshness.Floor, now time.Time, allowed time.Duration,
 ) (time.Duration, bool) {
 	first, found := time.Duration(0), false
 	level := r.work.Level
