--- a/internal/postgres/group/bench_test.go
+++ b/internal/postgres/group/bench_test.go
@@ -9,11 +9,10 @@
 	"dewknot/internal/postgres/policy"
 )
 
-// BenchmarkRead measures the machine's two steps for a read that a replica may
-// serve at once.
+// BenchmarkRead measures the two steps of a read that a replica serves without waiting.
 func BenchmarkRead(b *testing.B) {
 	h := newHarness(b, func(settings *Settings) { settings.Slots, settings.Connections, settings.QueueLimit = 64, 64, 512 })
-	h.healthy(5)
+	h.answerHealthy(5)
 	rule := policy.Rule{Freshness: policy.Any, Wait: time.Second}
 	session := SessionID{Listener: 1, Session: 1}
 	b.ReportAllocs()
--- a/internal/postgres/group/confirm.go
+++ b/internal/postgres/group/confirm.go
@@ -7,50 +7,51 @@
 	"dewknot/internal/base/position"
 )
 
-// Acknowledgement. A primary that was replaced may still say that a commit
-// succeeded, so its word is not enough. A commit written in term T at position
-// P is acknowledged only after a majority of the group's servers, in answers to
-// questions asked after the commit's response, report no term above T and a log
-// that has received P.
+// Acknowledgement of commits. A replaced primary may still report that a commit
+// succeeded, so its response alone is not sufficient. A commit in term T at position
+// P is acknowledged only after a majority of the group's servers has reported a log
+// that has received P and no term above T, in answers to status queries sent after
+// the commit's response.
 //
-// Why that is safe: a new primary needs a majority of votes, and voting raises
-// the voter's term. Any server of the majority asked above had not voted in a
-// later term when it answered, and it held P already. Every later majority of
-// voters shares a server with it, and the voter with the most advanced log wins,
-// so every later primary's log contains P. Status questions are batched: one
-// question a server at a time serves all waiting requests.
+// This is safe because a new primary needs a majority of votes, and voting raises
+// the voter's term. No server of the confirming majority had voted in a later term
+// when it answered, and each had received P. Every later majority of voters shares
+// a server with it, and the voter with the most advanced log wins, so the log of
+// every later primary contains P. Status queries are shared: there is at most one
+// outstanding query per server, and its answer serves all waiting requests.
 //
-// A read that the primary serves is confirmed in the same way by the position
-// after it: otherwise it could show a write that only a replaced primary holds
-// and that is lost with it. Replicas hold what a majority holds, for a group of
-// three: the primary and the replica itself.
+// A read at the primary is confirmed in the same way, by the log position after the
+// read. Otherwise it could return a write that only a replaced primary has and that
+// is lost with it. Reads at replicas need no confirmation: in a group of three, what
+// a replica has is on a majority, the primary and the replica itself.
 
 func (m *Machine) majority() int { return len(m.servers)/2 + 1 }
 
-// sentAsks returns the number of the last question sent to each server.
-func (m *Machine) sentAsks() []uint64 {
-	asks := make([]uint64, len(m.servers))
+// lastQueryNumbers returns the number of the last status query sent to each server.
+func (m *Machine) lastQueryNumbers() []uint64 {
+	numbers := make([]uint64, len(m.servers))
 	for index := range m.servers {
-		asks[index] = m.servers[index].askSent
+		numbers[index] = m.servers[index].querySent
 	}
-	return asks
+	return numbers
 }
 
 func (m *Machine) awaitConfirmation(target *pending, committed position.Position) {
-	target.stage = stageConfirm
+	target.stage = stageConfirmation
 	target.committed = committed
-	target.since = m.now
-	target.after = m.sentAsks()
+	target.stageStarted = m.now
+	target.baseline = m.lastQueryNumbers()
 	m.waiting = append(m.waiting, target)
 }
 
-// answered reports whether a server's latest report postdates the request's mark.
+// answered reports whether a server has answered a query sent after the request's baseline.
 func (m *Machine) answered(target *pending, index int) bool {
-	return m.servers[index].askAnswered > target.after[index]
+	return m.servers[index].queryAnswered > target.baseline[index]
 }
 
-// confirmed tells whether a commit is confirmed, or can no longer be.
-func (m *Machine) confirmed(target *pending) (done, replaced bool) {
+// checkConfirmation reports whether a commit is confirmed (done), or can't be confirmed
+// any more because a later term exists (replaced).
+func (m *Machine) checkConfirmation(target *pending) (done, replaced bool) {
 	votes := 0
 	for index := range m.servers {
 		if !m.answered(target, index) {
@@ -67,7 +68,7 @@
 	return votes >= m.majority(), false
 }
 
-// advanceWaiting moves waiting requests on after a new status answer.
+// advanceWaiting re-evaluates all waiting requests after a status answer.
 func (m *Machine) advanceWaiting() {
 	current := m.waiting
 	m.waiting = nil
@@ -78,19 +79,19 @@
 
 func (m *Machine) advanceOne(target *pending) {
 	switch target.stage {
-	case stageConfirm:
-		m.advanceConfirm(target)
-	case stageIndex:
-		m.advanceIndex(target)
-	case stageFloor:
-		m.advanceFloor(target)
+	case stageConfirmation:
+		m.advanceConfirmation(target)
+	case stageReadIndex:
+		m.advanceReadIndex(target)
+	case stageMinPosition:
+		m.advanceMinPosition(target)
 	}
 }
 
-func (m *Machine) advanceConfirm(target *pending) {
-	done, replaced := m.confirmed(target)
+func (m *Machine) advanceConfirmation(target *pending) {
+	done, replaced := m.checkConfirmation(target)
 	if done {
-		m.noteConfirmed(target.committed)
+		m.recordConfirmed(target.committed)
 	}
 	switch {
 	case done && target.request.ReadOnly:
@@ -98,10 +99,10 @@
 	case done:
 		m.reply(target, Reply{Position: target.committed, Server: target.server})
 	case replaced && target.request.ReadOnly && m.now < target.deadline():
-		// The answer is discarded; a read may run again elsewhere.
+		// The answer is discarded. A read is safe to repeat on another server.
 		target.server = noServer
 		target.primaryOnly = false
-		m.advanceFloor(target)
+		m.advanceMinPosition(target)
 	case replaced:
 		m.reply(target, Reply{Kind: failure.OutcomeUnknown, Server: target.server})
 	default:
@@ -109,12 +110,12 @@
 	}
 }
 
-// waitingDeadline is when a waiting request must be looked at again.
+// waitingDeadline returns when a waiting request must be evaluated again without new answers.
 func (m *Machine) waitingDeadline(target *pending) time.Duration {
 	switch target.stage {
-	case stageConfirm:
-		return target.since + m.settings.ConfirmLimit
-	case stageFloor:
+	case stageConfirmation:
+		return target.stageStarted + m.settings.ConfirmLimit
+	case stageMinPosition:
 		if !target.primaryOnly && m.now < m.replicaDeadline(target) {
 			return m.replicaDeadline(target)
 		}
@@ -130,12 +131,12 @@
 	m.waiting = make([]*pending, 0, len(current))
 	for _, target := range current {
 		switch {
-		case target.stage == stageConfirm && m.now >= m.waitingDeadline(target):
+		case target.stage == stageConfirmation && m.now >= m.waitingDeadline(target):
 			m.reply(target, Reply{Kind: failure.OutcomeUnknown, Server: target.server})
-		case target.stage != stageConfirm && m.now >= target.deadline():
-			m.refuse(target, m.lateKind(target))
-		case target.stage == stageFloor && m.shouldFallBack(target):
-			m.advanceFloor(target)
+		case target.stage != stageConfirmation && m.now >= target.deadline():
+			m.reject(target, m.timeoutKind(target))
+		case target.stage == stageMinPosition && m.shouldFallBack(target):
+			m.advanceMinPosition(target)
 		default:
 			m.waiting = append(m.waiting, target)
 		}
--- a/internal/postgres/group/machine.go
+++ b/internal/postgres/group/machine.go
@@ -8,18 +8,18 @@
 	"dewknot/internal/postgres/fairqueue"
 )
 
-// stage is where a request stands.
+// stage is the processing stage of a request.
 type stage uint8
 
 const (
-	stageIndex   stage = iota // waits for the primary's confirmed position
-	stageFloor                // waits for a server that has applied its floor
-	stageReady                // waits for a slot and a connection
-	stageRunning              // runs on a server
-	stageConfirm              // has committed; waits for a majority's confirmation
+	stageReadIndex    stage = iota // waits for the primary's confirmed position
+	stageMinPosition               // waits for a server that has applied its minimum position
+	stageQueued                    // waits for a slot and a connection
+	stageRunning                   // runs on a server
+	stageConfirmation              // has run; waits for confirmation by a majority
 )
 
-// pending is a request inside the machine.
+// pending is a request that has not been answered yet.
 type pending struct {
 	request  Request
 	stage    stage
@@ -27,67 +27,70 @@
 	attempts int
 	server   int
 	pinned   bool
-	// floor is the position a server must have applied; valid past stageIndex.
-	floor position.Position
-	// indexed is set when floor includes a read index.
-	indexed bool
-	// after holds, per server, the last status question sent before the moment
-	// that answers must postdate: arrival for reads, the commit for writes.
-	after []uint64
-	// committed is the position of the commit and since its time, in stageConfirm.
+	// minPosition is the position that a server must have applied; valid after stageReadIndex.
+	minPosition position.Position
+	// hasReadIndex is true when minPosition includes a read index.
+	hasReadIndex bool
+	// baseline holds, per server, the number of the last status query sent before the
+	// request arrived or, in stageConfirmation, before its run ended. Only answers to
+	// later queries count.
+	baseline []uint64
+	// committed is the position to confirm in stageConfirmation.
 	committed position.Position
-	since     time.Duration
-	// primaryOnly is set when only the primary can run the request.
+	// stageStarted is when stageRunning or stageConfirmation began.
+	stageStarted time.Duration
+	// primaryOnly is true when only the primary may run the request.
 	primaryOnly bool
-	// confirms is set when the run's answer shows what the primary alone may hold.
-	confirms bool
-	canceled bool
-	ended    bool
+	// needsConfirmation is true when a majority must confirm the answer, since the run may
+	// commit or reads at the primary.
+	needsConfirmation bool
+	canceled          bool
+	ended             bool
 }
 
 func (p *pending) deadline() time.Duration { return p.arrived + p.request.Rule.Wait }
 
-// pin is a session's hold on a connection during a transaction.
+// pin binds a session to the connection of its open transaction.
 type pin struct {
 	server   int
 	caller   string
 	readOnly bool
 }
 
-// Machine serves one group.
+// Machine is the state machine of one database group. It isn't safe for concurrent use.
 type Machine struct {
 	settings Settings
 	now      time.Duration
 	servers  []serverState
 	requests map[RequestID]*pending
-	// waiting holds requests in stageIndex, stageFloor and stageConfirm in the
-	// order in which they entered the stage.
+	// waiting holds the requests in stageReadIndex, stageMinPosition and stageConfirmation
+	// in the order in which they entered the stage.
 	waiting []*pending
-	// primaryQueue and replicaQueue hold requests in stageReady.
+	// primaryQueue and replicaQueue hold the requests in stageQueued outside transactions.
 	primaryQueue *fairqueue.Queue[*pending]
 	replicaQueue *fairqueue.Queue[*pending]
-	// pinnedQueue holds statements of open transactions that wait for a slot.
+	// pinnedQueue holds the statements of open transactions that wait for a slot.
 	pinnedQueue []*pending
 	pins        map[SessionID]*pin
 	lastNumber  map[SessionID]uint64
 	closed      bool
-	// freshUntil ends the time in which new work may begin, if settings ask for it.
+	// freshUntil is until when new work may begin, if Settings.NeedsFresh is set.
 	freshUntil  time.Duration
 	highestTerm uint64
 	marks       freshnessMarks
-	// confirmedOffsets holds, by term, up to which offset commits were confirmed.
+	// confirmedOffsets holds the highest confirmed offset of each term.
 	confirmedOffsets map[uint64]uint64
-	// serviceTime is a moving average of how long a run takes.
+	// serviceTime is a moving average of the duration of a run.
 	serviceTime time.Duration
-	// queueDeadline is a lower bound of the earliest deadline in the queues.
+	// queueDeadline is a lower bound for the earliest deadline in the queues.
 	queueDeadline time.Duration
 	effects       []Effect
 }
 
-// initialServiceTime is assumed before any run has ended.
+// initialServiceTime is the estimate before the first run has ended.
 const initialServiceTime = 2 * time.Millisecond
 
-// New returns a machine that knows nothing of its servers yet.
+// New returns a machine that has no reports of its servers yet.
 func New(settings Settings) *Machine {
 	capacity := fairqueue.Resources{Slots: settings.Slots, Connections: settings.Connections}
 	return &Machine{
@@ -129,7 +132,7 @@
 	}
 	m.expire()
 	m.dispatch()
-	m.askServers()
+	m.sendDueQueries()
 	return m.effects
 }
 
@@ -142,11 +145,11 @@
 
 func (m *Machine) emit(effect Effect) { m.effects = append(m.effects, effect) }
 
-// NextWake returns the time of the next Tick that the machine needs.
+// NextWake returns when the machine needs its next Tick.
 func (m *Machine) NextWake() time.Duration {
 	wake := m.now + m.settings.PollInterval
 	for index := range m.servers {
-		wake = min(wake, m.nextAsk(index))
+		wake = min(wake, m.nextQueryAt(index))
 	}
 	for _, waiting := range m.waiting {
 		wake = min(wake, m.waitingDeadline(waiting))
@@ -154,41 +157,41 @@
 	if m.queued() > 0 {
 		wake = min(wake, m.queueDeadline)
 	}
-	return max(wake, m.now+minimumWake)
+	return max(wake, m.now+minWakeDelay)
 }
 
-// minimumWake keeps ticks apart.
-const minimumWake = time.Millisecond
+// minWakeDelay is the minimum time between ticks.
+const minWakeDelay = time.Millisecond
 
 func (m *Machine) queued() int {
 	return m.primaryQueue.Len() + m.replicaQueue.Len() + len(m.pinnedQueue)
 }
 
-// Queued returns how many requests wait in the machine.
+// Queued returns the number of requests that wait in queues or for status answers.
 func (m *Machine) Queued() int { return m.queued() + len(m.waiting) }
 
-// OpenTransactions returns how many transactions hold connections.
+// OpenTransactions returns the number of transactions that hold connections.
 func (m *Machine) OpenTransactions() int { return len(m.pins) }
 
-// InProgress returns how many requests the machine has not answered yet.
+// InProgress returns the number of requests without a reply.
 func (m *Machine) InProgress() int { return len(m.requests) }
 
 func (m *Machine) arrive(request Request) {
 	session := request.ID.Session
-	// A number that is not new is a duplicate: the first copy gets the answer.
+	// Numbers of a session only grow, so this is a duplicate; the first copy gets the answer.
 	if request.ID.Number <= m.lastNumber[session] {
 		return
 	}
 	m.lastNumber[session] = request.ID.Number
-	created := &pending{request: request, arrived: m.now, server: noServer, floor: request.Floor}
+	created := &pending{request: request, arrived: m.now, server: noServer, minPosition: request.Floor}
 	m.requests[request.ID] = created
-	switch held := m.pins[session]; {
-	case held != nil:
-		m.arrivePinned(created, held)
+	switch transaction := m.pins[session]; {
+	case transaction != nil:
+		m.arrivePinned(created, transaction)
 	case request.InTransaction:
-		m.refuse(created, failure.TransactionLost)
+		m.reject(created, failure.TransactionLost)
 	case m.closed:
-		m.refuse(created, failure.NotOwner)
+		m.reject(created, failure.NotOwner)
 	case request.Rule.Refuse:
 		m.reply(created, Reply{Kind: failure.RefusedByPolicy, RetryAfter: request.Rule.RetryAfter, Server: noServer})
 	default:
@@ -196,31 +199,32 @@
 	}
 }
 
-// arrivePinned takes a statement of an open transaction, which runs on the
-// transaction's own connection or not at all.
-func (m *Machine) arrivePinned(created *pending, held *pin) {
+// arrivePinned queues a statement of an open transaction. It must run on the
+// transaction's connection.
+func (m *Machine) arrivePinned(created *pending, transaction *pin) {
 	created.pinned = true
-	created.server = held.server
-	created.stage = stageReady
+	created.server = transaction.server
+	created.stage = stageQueued
 	m.pinnedQueue = append(m.pinnedQueue, created)
-	m.noteDeadline(created)
+	m.updateQueueDeadline(created)
 }
 
-// admit refuses at once what surely cannot be served within its wait limit.
+// admit rejects a request immediately if the queue is full or the estimated wait
+// exceeds the request's limit.
 func (m *Machine) admit(created *pending) {
 	if m.Queued() >= m.settings.QueueLimit {
-		m.refuse(created, failure.Overloaded)
+		m.reject(created, failure.Overloaded)
 		return
 	}
 	if estimate := m.estimatedWait(created.request.ReadOnly); estimate > created.request.Rule.Wait {
-		m.refuse(created, failure.Overloaded)
+		m.reject(created, failure.Overloaded)
 		return
 	}
 	created.primaryOnly = !created.request.ReadOnly
 	m.enterFirstStage(created)
 }
 
-// estimatedWait predicts the time to reach the head of a queue.
+// estimatedWait estimates how long a new request takes to reach the head of its queue.
 func (m *Machine) estimatedWait(readOnly bool) time.Duration {
 	queue, slots := m.primaryQueue.Len(), m.settings.Slots
 	if readOnly {
@@ -232,17 +236,17 @@
 	return m.serviceTime * time.Duration(queue) / time.Duration(max(slots, 1))
 }
 
-// retryAfter is what a refused caller is told: the time to drain the queue, and
-// at least the interval in which a group's state is looked at.
+// retryAfter returns the delay after which a rejected caller should retry: the time to
+// drain the queue, but at least the interval of status queries.
 func (m *Machine) retryAfter(target *pending) time.Duration {
 	return max(m.estimatedWait(target.request.ReadOnly), m.settings.PollInterval)
 }
 
-func (m *Machine) refuse(target *pending, kind failure.Kind) {
+func (m *Machine) reject(target *pending, kind failure.Kind) {
 	m.reply(target, Reply{Kind: kind, RetryAfter: m.retryAfter(target), Server: noServer})
 }
 
-// reply ends a request; it is the only place that emits Reply.
+// reply ends a request. Reply effects are emitted nowhere else.
 func (m *Machine) reply(target *pending, reply Reply) {
 	reply.ID = target.request.ID
 	target.ended = true
@@ -250,24 +254,24 @@
 	m.emit(reply)
 }
 
-func (m *Machine) ready(target *pending) {
-	target.stage = stageReady
+func (m *Machine) enqueue(target *pending) {
+	target.stage = stageQueued
 	queue := m.replicaQueue
 	if target.primaryOnly {
 		queue = m.primaryQueue
 	}
 	queue.Push(target.request.Caller, target.request.Weight, target)
-	m.noteDeadline(target)
+	m.updateQueueDeadline(target)
 }
 
-func (m *Machine) noteDeadline(target *pending) {
+func (m *Machine) updateQueueDeadline(target *pending) {
 	if m.queued() == 1 || target.deadline() < m.queueDeadline {
 		m.queueDeadline = target.deadline()
 	}
 }
 
-// dispatch starts every request that has a server with a free slot. Statements
-// of open transactions go first: they hold connections that others wait for.
+// dispatch starts every queued request for which a server has a free slot. Statements
+// of open transactions go first because they hold connections that others wait for.
 func (m *Machine) dispatch() {
 	m.dispatchPinned()
 	m.dispatchQueue(m.primaryQueue)
@@ -280,7 +284,7 @@
 		switch {
 		case target.ended:
 		case m.pins[target.request.ID.Session] == nil:
-			m.refuse(target, failure.TransactionLost)
+			m.reject(target, failure.TransactionLost)
 		case m.servers[target.server].running < m.settings.Slots:
 			m.start(target, target.server)
 		default:
@@ -291,35 +295,35 @@
 }
 
 func (m *Machine) dispatchQueue(queue *fairqueue.Queue[*pending]) {
-	if queue.Len() == 0 || !m.fresh() || !m.anyFree() {
+	if queue.Len() == 0 || !m.fresh() || !m.anyServerFree() {
 		return
 	}
 	for {
-		target, ok := queue.Pop(func(candidate *pending) bool { return m.choose(candidate) != noServer })
+		target, ok := queue.Pop(func(candidate *pending) bool { return m.chooseServer(candidate) != noServer })
 		if !ok {
 			return
 		}
-		m.start(target, m.choose(target))
+		m.start(target, m.chooseServer(target))
 	}
 }
 
-// fresh reports whether this node may begin new work. A node that was paused
-// finds here that its knowledge has aged, whatever waited in its queues.
+// fresh reports whether this node may begin new work. It is checked when a queued request
+// is started, since the process may have been paused while the request waited.
 func (m *Machine) fresh() bool {
 	return !m.settings.NeedsFresh || m.now < m.freshUntil
 }
 
-// MayBegin reports whether new work may begin on a server now. The runtime asks
-// again when it has a connection: setting one up takes time, and the process may
-// have been paused since the machine decided.
+// MayBegin reports whether new work may begin on a server now. The runtime checks it
+// again once it has a connection: dialing takes time, and the process may have been
+// paused since the machine's decision.
 func (m *Machine) MayBegin(now time.Duration, server int) bool {
 	m.now = max(m.now, now)
 	return m.usable(server) && m.fresh()
 }
 
-func (m *Machine) anyFree() bool {
+func (m *Machine) anyServerFree() bool {
 	for index := range m.servers {
-		if m.hasRoom(index) {
+		if m.hasCapacity(index) {
 			return true
 		}
 	}
@@ -330,7 +334,7 @@
 	target.stage = stageRunning
 	target.server = server
 	target.attempts++
-	target.since = m.now
+	target.stageStarted = m.now
 	m.servers[server].running++
 	amount := fairqueue.Resources{Slots: 1}
 	if !target.pinned {
@@ -338,10 +342,10 @@
 		amount.Connections = 1
 	}
 	m.queueOf(target).Acquire(target.request.Caller, amount)
-	// Whatever runs by itself at the primary reflects the end of the primary's log;
-	// transactions are confirmed when they commit.
-	target.confirms = !target.pinned && !target.request.Begins && (target.request.MayCommit || m.isPrimary(server))
-	m.emit(Run{ID: target.request.ID, Server: server, Pinned: target.pinned, Confirm: target.confirms})
+	// Any single statement at the primary may return the end of the primary's log.
+	// Transactions are confirmed when they commit.
+	target.needsConfirmation = !target.pinned && !target.request.Begins && (target.request.MayCommit || m.isPrimary(server))
+	m.emit(Run{ID: target.request.ID, Server: server, Pinned: target.pinned, Confirm: target.needsConfirmation})
 }
 
 func (m *Machine) queueOf(target *pending) *fairqueue.Queue[*pending] {
@@ -351,14 +355,14 @@
 	return m.replicaQueue
 }
 
-// finish takes the end of a run. A result for a request that is not running on
-// that server is late and without meaning.
+// finish handles the end of a run. A result for a request that isn't running on that
+// server is outdated and ignored.
 func (m *Machine) finish(event Finish) {
 	target := m.requests[event.ID]
 	if target == nil || target.stage != stageRunning || target.server != event.Server {
 		return
 	}
-	if held := m.pins[event.ID.Session]; held != nil && held.readOnly {
+	if transaction := m.pins[event.ID.Session]; transaction != nil && transaction.readOnly {
 		event.Result.Wrote = false
 	}
 	m.stopRunning(target, event.Result.TransactionOpen && event.Result.Outcome == Completed)
@@ -374,11 +378,11 @@
 	}
 }
 
-// stopRunning gives back the slot and, unless a transaction stays open, the connection.
+// stopRunning releases the slot and, unless a transaction stays open, the connection.
 func (m *Machine) stopRunning(target *pending, open bool) {
 	server := &m.servers[target.server]
 	server.running--
-	m.observeService(m.now - target.since)
+	m.recordServiceTime(m.now - target.stageStarted)
 	queue := m.queueOf(target)
 	queue.Release(target.request.Caller, fairqueue.Resources{Slots: 1})
 	session := target.request.ID.Session
@@ -397,28 +401,29 @@
 	}
 }
 
-// unpin frees the connection of a session's transaction.
+// unpin releases the connection of a session's transaction.
 func (m *Machine) unpin(session SessionID) {
-	held := m.pins[session]
-	if held == nil {
+	transaction := m.pins[session]
+	if transaction == nil {
 		return
 	}
 	delete(m.pins, session)
-	m.servers[held.server].inUse--
-	m.primaryQueue.Release(held.caller, fairqueue.Resources{Connections: 1})
+	m.servers[transaction.server].inUse--
+	m.primaryQueue.Release(transaction.caller, fairqueue.Resources{Connections: 1})
 }
 
-// serviceSmoothing is the weight of history in the moving average: 1 - 1/16.
+// serviceSmoothing is the reciprocal weight of a new value in the moving average of
+// service times: 1/16.
 const serviceSmoothing = 16
 
-func (m *Machine) observeService(took time.Duration) {
-	m.serviceTime += (took - m.serviceTime) / serviceSmoothing
+func (m *Machine) recordServiceTime(elapsed time.Duration) {
+	m.serviceTime += (elapsed - m.serviceTime) / serviceSmoothing
 	m.serviceTime = max(m.serviceTime, time.Microsecond)
 }
 
 func (m *Machine) completed(target *pending, result RunResult) {
-	shows := target.confirms && !target.request.MayCommit && !result.Position.IsZero()
-	if (result.Wrote || shows) && !m.settings.Mutations.SkipConfirm {
+	readsPrimary := target.needsConfirmation && !target.request.MayCommit && !result.Position.IsZero()
+	if (result.Wrote || readsPrimary) && !m.settings.Mutations.SkipConfirm {
 		m.awaitConfirmation(target, result.Position)
 		return
 	}
@@ -430,25 +435,26 @@
 	m.reply(target, reply)
 }
 
-// notStarted may try again: nothing has run.
+// notStarted queues the request again, since nothing has run, or rejects it if it
+// can't be retried.
 func (m *Machine) notStarted(target *pending) {
 	switch {
 	case target.canceled:
-		m.refuse(target, failure.Canceled)
+		m.reject(target, failure.Canceled)
 	case target.pinned:
-		m.refuse(target, failure.TransactionLost)
+		m.reject(target, failure.TransactionLost)
 	case target.attempts >= maxRunAttempts || m.now >= target.deadline():
-		m.refuse(target, failure.NoServer)
+		m.reject(target, failure.NoServer)
 	default:
 		target.server = noServer
-		m.ready(target)
+		m.enqueue(target)
 	}
 }
 
-// mustWrite moves a statement that turned out to write to the primary.
+// mustWrite moves a statement that a read-only server refused to the primary.
 func (m *Machine) mustWrite(target *pending) {
 	if target.pinned || target.primaryOnly {
-		m.refuse(target, failure.TransactionLost)
+		m.reject(target, failure.TransactionLost)
 		return
 	}
 	target.request.ReadOnly = false
@@ -457,8 +463,8 @@
 	m.notStarted(target)
 }
 
-// lost decides what to say when a connection ended during a run. Only reads of
-// which nothing was passed on are run again.
+// lost handles a connection that ended during a run. Only a read outside a transaction
+// is run again, and only if no part of its answer has been passed on.
 func (m *Machine) lost(target *pending, outcome RunOutcome) {
 	request := target.request
 	rerunnable := request.ReadOnly && outcome == Lost && !target.pinned
@@ -467,12 +473,12 @@
 	}
 	switch {
 	case m.settings.Mutations.LostIsNotRun:
-		m.refuse(target, failure.NoServer)
+		m.reject(target, failure.NoServer)
 	case rerunnable && target.attempts < maxRunAttempts && m.now < target.deadline():
 		m.notStarted(target)
 	case request.MayCommit, request.ReadOnly:
 		m.reply(target, Reply{Kind: failure.OutcomeUnknown, Server: target.server})
 	default:
-		m.refuse(target, failure.TransactionLost)
+		m.reject(target, failure.TransactionLost)
 	}
 }
--- a/internal/postgres/group/reads.go
+++ b/internal/postgres/group/reads.go
@@ -9,43 +9,43 @@
 	"dewknot/internal/postgres/replication"
 )
 
-const roleOfPrimary = replication.Primary
+const primaryRole = replication.Primary
 
-// Freshness. Every level comes down to a floor: a position that a server must
-// have applied before it may run the read.
+// Freshness of reads. Each level is implemented as a minimum position, which a server
+// must have applied before it may run the read.
 //
-//   - any: no floor.
-//   - session with a carried position: that position.
-//   - lag(L): a primary position that was confirmed by a question asked at most
-//     L ago; servers remember up to which such question they are fresh.
-//   - current, and session without a position: the read index, the primary's
-//     position in an answer to a question asked after the request arrived. It
-//     counts only when a majority of servers, asked after the arrival too, report
-//     no higher term: then every write acknowledged before the arrival lies at or
-//     below it.
+//   - any: no minimum position.
+//   - session, if the request carries a position: that position.
+//   - lag(L): a primary position confirmed by status queries sent at most L ago. Each
+//     server's freshAsOf is the send time of the latest such queries whose position it
+//     has applied.
+//   - current, and session without a position: the read index, which is the primary's
+//     position in its answer to a query sent after the request arrived. It is valid only
+//     if a majority of servers, also queried after the arrival, reports no higher term.
+//     Then every write acknowledged before the arrival is at or below it.
 //
-// An explicit transaction that may write begins with a read index as well, so
-// that its reads at the primary see what the session wrote before. The floor
-// also guards reads at the primary itself: a replaced primary does not cover it.
+// An explicit transaction that may write also begins with a read index, so that its
+// reads at the primary see the session's earlier writes. The minimum position applies
+// to reads at the primary as well: a replaced primary does not cover it.
 
-// enterFirstStage decides what a new request must wait for.
+// enterFirstStage puts a new request into the first stage that it needs.
 func (m *Machine) enterFirstStage(target *pending) {
-	target.after = m.sentAsks()
-	if m.needsIndex(target) {
-		target.stage = stageIndex
+	target.baseline = m.lastQueryNumbers()
+	if m.needsReadIndex(target) {
+		target.stage = stageReadIndex
 		m.waiting = append(m.waiting, target)
 		return
 	}
-	m.enterFloorStage(target)
+	m.enterMinPositionStage(target)
 }
 
-func (m *Machine) needsIndex(target *pending) bool {
+func (m *Machine) needsReadIndex(target *pending) bool {
 	request := target.request
 	if m.settings.Mutations.SkipFloor {
 		return false
 	}
 	if !request.ReadOnly && !request.Begins {
-		return false // confirmed after its commit, which covers what it read
+		return false // the confirmation of its commit also covers its reads
 	}
 	switch request.Rule.Freshness {
 	case policy.Any:
@@ -53,25 +53,25 @@
 	case policy.Session:
 		return request.Floor.IsZero()
 	case policy.Bounded:
-		return !request.ReadOnly || !m.freshReplica(request.Rule.MaxLag)
+		return !request.ReadOnly || !m.hasFreshReplica(request.Rule.MaxLag)
 	default:
 		return true
 	}
 }
 
-// advanceIndex completes a read index when a majority has answered.
-func (m *Machine) advanceIndex(target *pending) {
+// advanceReadIndex sets the read index once a majority has answered.
+func (m *Machine) advanceReadIndex(target *pending) {
 	index, found := m.readIndex(target)
 	if !found {
 		m.waiting = append(m.waiting, target)
 		return
 	}
-	target.floor = position.Max(target.floor, index)
-	target.indexed = true
-	m.enterFloorStage(target)
+	target.minPosition = position.Max(target.minPosition, index)
+	target.hasReadIndex = true
+	m.enterMinPositionStage(target)
 }
 
-// readIndex returns the primary's position if it is confirmed for the request.
+// readIndex returns the primary's position if a majority confirms it for the request.
 func (m *Machine) readIndex(target *pending) (position.Position, bool) {
 	answers := 0
 	highest := uint64(0)
@@ -86,25 +86,25 @@
 	}
 	for index := range m.servers {
 		report := m.servers[index].report
-		if m.answered(target, index) && report.Role == roleOfPrimary && report.Term == highest {
+		if m.answered(target, index) && report.Role == primaryRole && report.Term == highest {
 			return report.Received, true
 		}
 	}
 	return position.Position{}, false
 }
 
-// enterFloorStage queues a request that some server can run, and lets others wait.
-func (m *Machine) enterFloorStage(target *pending) {
-	m.advanceFloor(target)
+// enterMinPositionStage queues a request if some server can run it, and otherwise makes it wait.
+func (m *Machine) enterMinPositionStage(target *pending) {
+	m.advanceMinPosition(target)
 }
 
 func (m *Machine) replicaDeadline(target *pending) time.Duration {
 	return min(target.arrived+target.request.Rule.ReplicaWait, target.deadline())
 }
 
-// advanceFloor queues a request for the servers that may run it. A read whose
-// replicas stay behind past its replica wait goes to the primary.
-func (m *Machine) advanceFloor(target *pending) {
+// advanceMinPosition queues a request for the servers that may run it. A read falls back
+// to the primary if no replica has caught up within its replica wait.
+func (m *Machine) advanceMinPosition(target *pending) {
 	primary := m.usablePrimary()
 	if m.shouldFallBack(target) && primary != noServer {
 		target.primaryOnly = true
@@ -112,9 +112,9 @@
 	behind := primary != noServer && !m.mayRun(primary, target)
 	switch {
 	case target.primaryOnly && !behind, !target.primaryOnly && m.replicaCovers(target):
-		m.ready(target)
+		m.enqueue(target)
 	default:
-		target.stage = stageFloor
+		target.stage = stageMinPosition
 		m.waiting = append(m.waiting, target)
 	}
 }
@@ -126,14 +126,14 @@
 	return m.now >= m.replicaDeadline(target) || m.fitReplicas() == 0
 }
 
-// requeueReads lets queued reads choose again after a server became unfit or
+// requeueReads re-evaluates queued reads after a server became unfit or is leaving, or
 // the primary changed.
 func (m *Machine) requeueReads() {
 	isRead := func(target *pending) bool { return target.request.ReadOnly }
 	reads := append(m.replicaQueue.RemoveIf(isRead), m.primaryQueue.RemoveIf(isRead)...)
 	for _, target := range reads {
 		target.primaryOnly = false
-		m.advanceFloor(target)
+		m.advanceMinPosition(target)
 	}
 }
 
@@ -146,27 +146,26 @@
 	return false
 }
 
-// covers reports whether a server's data is fresh enough for a request.
+// covers reports whether a server's data is recent enough for a request.
 func (m *Machine) covers(index int, target *pending) bool {
 	server := &m.servers[index]
 	if m.settings.Mutations.SkipFloor {
 		return true
 	}
-	if !server.reported || !server.report.Applied.Covers(target.floor) || !m.clean(index) {
+	if !server.reported || !server.report.Applied.Covers(target.minPosition) || !m.notDivergent(index) {
 		return false
 	}
-	if target.request.Rule.Freshness == policy.Bounded && !target.indexed {
+	if target.request.Rule.Freshness == policy.Bounded && !target.hasReadIndex {
 		return m.freshWithin(index, target.request.Rule.MaxLag)
 	}
 	return true
 }
 
-// clean reports whether a server surely shows nothing that only a replaced
-// primary held. A server that has applied an entry of the current term follows
-// the current primary. One that has not may still hold the divergent tail of an
-// earlier term, unless what it has applied lies within what was confirmed in
-// that term.
-func (m *Machine) clean(index int) bool {
+// notDivergent reports whether a server certainly has no applied entries that only a
+// replaced primary had. A server that has applied an entry of the current term follows
+// the current primary. Any other server may still have the divergent tail of an earlier
+// term, unless its applied position was confirmed in that term.
+func (m *Machine) notDivergent(index int) bool {
 	applied := m.servers[index].report.Applied
 	if applied.Term == m.highestTerm || m.settings.Mutations.SkipClean {
 		return true
@@ -174,25 +173,25 @@
 	return applied.Offset <= m.confirmedOffsets[applied.Term]
 }
 
-// noteConfirmed remembers what a majority has received, by term.
-func (m *Machine) noteConfirmed(at position.Position) {
+// recordConfirmed records a position that a majority has received.
+func (m *Machine) recordConfirmed(at position.Position) {
 	m.confirmedOffsets[at.Term] = max(m.confirmedOffsets[at.Term], at.Offset)
 	for term := range m.confirmedOffsets {
-		if term+rememberedTerms < at.Term {
+		if term+keptTerms < at.Term {
 			delete(m.confirmedOffsets, term)
 		}
 	}
 }
 
-// rememberedTerms is for how many terms back confirmed positions are remembered.
-const rememberedTerms = 4
+// keptTerms is the number of earlier terms whose confirmed offsets are kept.
+const keptTerms = 4
 
-// choose returns the server that may run a queued request now, or noServer.
-// Among several it takes the one with the fewest running statements.
-func (m *Machine) choose(target *pending) int {
+// chooseServer returns the server with the fewest running statements among those that
+// may run a queued request now, or noServer.
+func (m *Machine) chooseServer(target *pending) int {
 	best := noServer
 	for index := range m.servers {
-		if !m.hasRoom(index) || m.isPrimary(index) != target.primaryOnly {
+		if !m.hasCapacity(index) || m.isPrimary(index) != target.primaryOnly {
 			continue
 		}
 		if !m.mayRun(index, target) {
@@ -205,7 +204,8 @@
 	return best
 }
 
-// mayRun checks the floor. Single writes need none: their confirmation follows.
+// mayRun checks the minimum position. Single writes need none because they are confirmed
+// after they have run.
 func (m *Machine) mayRun(index int, target *pending) bool {
 	if !target.request.ReadOnly && !target.request.Begins {
 		return true
@@ -213,16 +213,16 @@
 	return m.covers(index, target)
 }
 
-// noticeFreshness records, for lag bounds, up to when each server is fresh. A
-// primary's position counts from a time t when the primary and a majority
-// answered questions asked at t or later and none reported a higher term: every
-// write acknowledged before t then lies at or below that position.
-func (m *Machine) noticeFreshness() {
+// updateFreshness records, for lag bounds, as of when each server's data is complete. A
+// primary position is valid as of a time t if the primary and a majority have answered
+// queries sent at t or later and none has reported a higher term. Then every write
+// acknowledged before t is at or below that position.
+func (m *Machine) updateFreshness() {
 	primary := m.currentPrimary()
 	if primary == noServer {
 		return
 	}
-	asOf, confirmed := m.confirmedSince(primary)
+	asOf, confirmed := m.confirmedAsOf(primary)
 	if !confirmed {
 		return
 	}
@@ -239,21 +239,20 @@
 	}
 }
 
-// freshnessMark is a primary position and the time up to which every write
-// acknowledged before lies at or below it.
+// freshnessMark is a primary position with a time: every write acknowledged before that
+// time is at or below the position.
 type freshnessMark struct {
 	asOf     time.Duration
 	position position.Position
 }
 
-// freshnessMarks remembers confirmed marks, so that a replica that applies late
-// still shows up to when it is fresh.
+// freshnessMarks keeps recent marks, so that the age of a lagging replica's data is known.
 type freshnessMarks struct {
 	marks []freshnessMark // ordered by time
 }
 
-// Spacing and number of remembered marks: together they look back ten seconds; a
-// replica further behind counts as not fresh for any bound.
+// Minimum spacing and maximum number of marks. They cover at least the last 5 seconds; a
+// replica that is behind all marks satisfies no lag bound.
 const (
 	markSpacing = 20 * time.Millisecond
 	markCount   = 512
@@ -270,7 +269,7 @@
 	f.marks = append(f.marks, mark)
 }
 
-// covered returns the time of the latest mark that an applied position covers.
+// covered returns the time of the latest mark at or below an applied position.
 func (f *freshnessMarks) covered(applied position.Position) (time.Duration, bool) {
 	for index := len(f.marks) - 1; index >= 0; index-- {
 		if applied.Covers(f.marks[index].position) {
@@ -280,21 +279,21 @@
 	return 0, false
 }
 
-// confirmedSince returns the latest time for which the primary and a majority
-// have answered questions asked no earlier.
-func (m *Machine) confirmedSince(primary int) (time.Duration, bool) {
+// confirmedAsOf returns the latest time t such that the primary and a majority have
+// answered status queries sent at t or later.
+func (m *Machine) confirmedAsOf(primary int) (time.Duration, bool) {
 	var others []time.Duration
 	for index := range m.servers {
 		server := &m.servers[index]
 		if index != primary && server.reported && server.report.Term == m.highestTerm {
-			others = append(others, server.reportAskedAt)
+			others = append(others, server.reportQueriedAt)
 		}
 	}
 	needed := m.majority() - 1
 	if len(others) < needed {
 		return 0, false
 	}
-	asOf := m.servers[primary].reportAskedAt
+	asOf := m.servers[primary].reportQueriedAt
 	if needed > 0 {
 		slices.Sort(others)
 		asOf = min(asOf, others[len(others)-needed])
@@ -316,7 +315,7 @@
 	return server.fresh && m.now-server.freshAsOf <= lag
 }
 
-func (m *Machine) freshReplica(lag time.Duration) bool {
+func (m *Machine) hasFreshReplica(lag time.Duration) bool {
 	for index := range m.servers {
 		if m.usable(index) && !m.isPrimary(index) && m.freshWithin(index, lag) {
 			return true
--- a/internal/postgres/group/servers.go
+++ b/internal/postgres/group/servers.go
@@ -7,10 +7,10 @@
 	"dewknot/internal/base/failure"
 )
 
-// noServer stands for the absence of a server.
+// noServer is the index that stands for no server.
 const noServer = -1
 
-// serverState is what the machine knows of a server.
+// serverState is the machine's state of a server.
 type serverState struct {
 	report   Report
 	reported bool
@@ -18,27 +18,28 @@
 	answers  int // in a row
 	failures int // in a row
 	leaving  bool
-	// leavingSince is when the mark arrived here.
+	// leavingSince is when this machine learned that the server is leaving.
 	leavingSince time.Duration
 	running      int
 	inUse        int
-	// askSent is the number of the last question, askAnswered of the last answer.
-	askSent     uint64
-	askAnswered uint64
-	askPending  bool
-	askAt       time.Duration
-	// askTimes holds when the latest questions were asked, by number.
-	askTimes [rememberedAsks]time.Duration
-	// reportAskedAt is when the question was asked that report answers.
-	reportAskedAt time.Duration
-	// freshAsOf is the latest time at which a confirmed primary position was
-	// asked for that this server has applied.
+	// querySent is the number of the last status query, queryAnswered that of the last
+	// answered one.
+	querySent     uint64
+	queryAnswered uint64
+	queryPending  bool
+	querySentAt   time.Duration
+	// querySentTimes holds the send times of the latest queries, by number modulo its length.
+	querySentTimes [queryWindow]time.Duration
+	// reportQueriedAt is when the query was sent that report answers.
+	reportQueriedAt time.Duration
+	// freshAsOf is the latest time for which the server has applied every write
+	// acknowledged before; valid if fresh is set.
 	freshAsOf time.Duration
 	fresh     bool
 }
 
-// rememberedAsks is how many questions back an answer may be late.
-const rememberedAsks = 8
+// queryWindow is the number of latest queries whose answers are still accepted.
+const queryWindow = 8
 
 // ServerView is a server's state for status pages and tests.
 type ServerView struct {
@@ -62,11 +63,11 @@
 	return views
 }
 
-// isPrimary reports whether a server is primary of the highest term known. This
-// is a hint for routing; what makes an answer safe is its confirmation.
+// isPrimary reports whether a server is the primary of the highest known term. It only
+// guides routing; the safety of an answer depends on its confirmation.
 func (m *Machine) isPrimary(index int) bool {
 	server := &m.servers[index]
-	return server.reported && server.report.Role == roleOfPrimary && server.report.Term == m.highestTerm
+	return server.reported && server.report.Role == primaryRole && server.report.Term == m.highestTerm
 }
 
 func (m *Machine) usable(index int) bool {
@@ -77,7 +78,7 @@
 	return server.fit && !server.leaving
 }
 
-func (m *Machine) hasRoom(index int) bool {
+func (m *Machine) hasCapacity(index int) bool {
 	server := &m.servers[index]
 	return m.usable(index) && server.running < m.settings.Slots && server.inUse < m.settings.Connections
 }
@@ -101,52 +102,52 @@
 	return count
 }
 
-// askServers sends the status questions that are due.
-func (m *Machine) askServers() {
+// sendDueQueries sends the status queries that are due.
+func (m *Machine) sendDueQueries() {
 	for index := range m.servers {
-		if !m.servers[index].askPending && m.nextAsk(index) <= m.now {
-			m.ask(index)
+		if !m.servers[index].queryPending && m.nextQueryAt(index) <= m.now {
+			m.sendQuery(index)
 		}
 	}
 }
 
-func (m *Machine) ask(index int) {
+func (m *Machine) sendQuery(index int) {
 	server := &m.servers[index]
-	server.askSent++
-	server.askPending = true
-	server.askAt = m.now
-	server.askTimes[server.askSent%rememberedAsks] = m.now
-	m.emit(Ask{Server: index, Number: server.askSent})
+	server.querySent++
+	server.queryPending = true
+	server.querySentAt = m.now
+	server.querySentTimes[server.querySent%queryWindow] = m.now
+	m.emit(Ask{Server: index, Number: server.querySent})
 }
 
-// nextAsk returns when a server must be asked next, or, while a question is
-// pending, when that question times out.
-func (m *Machine) nextAsk(index int) time.Duration {
+// nextQueryAt returns when the next status query to a server is due or, while one is
+// outstanding, when it times out.
+func (m *Machine) nextQueryAt(index int) time.Duration {
 	server := &m.servers[index]
 	switch {
-	case server.askPending:
-		return server.askAt + m.settings.AskTimeout
-	case server.askSent == 0:
+	case server.queryPending:
+		return server.querySentAt + m.settings.AskTimeout
+	case server.querySent == 0:
 		return m.now
-	case m.answersWanted(index):
-		return server.askAt + m.settings.AskSpacing
+	case m.needsAnswer(index):
+		return server.querySentAt + m.settings.AskSpacing
 	case m.usablePrimary() == noServer || !server.fit:
-		return server.askAt + m.settings.ChangePoll
+		return server.querySentAt + m.settings.ChangePoll
 	default:
-		return server.askAt + m.settings.PollInterval
+		return server.querySentAt + m.settings.PollInterval
 	}
 }
 
-// answersWanted reports whether a waiting request needs a further answer.
-func (m *Machine) answersWanted(index int) bool {
+// needsAnswer reports whether a waiting request needs another answer of a server.
+func (m *Machine) needsAnswer(index int) bool {
 	if !m.servers[index].fit {
 		return false
 	}
 	for _, target := range m.waiting {
-		if target.stage == stageFloor || m.servers[index].askAnswered <= target.after[index] {
+		if target.stage == stageMinPosition || m.servers[index].queryAnswered <= target.baseline[index] {
 			return true
 		}
-		if target.stage == stageConfirm && !m.servers[index].report.Received.Covers(target.committed) {
+		if target.stage == stageConfirmation && !m.servers[index].report.Received.Covers(target.committed) {
 			return true
 		}
 	}
@@ -155,38 +156,38 @@
 
 func (m *Machine) statusAnswer(event StatusAnswer) {
 	server := &m.servers[event.Server]
-	if event.Ask == server.askSent {
-		server.askPending = false
+	if event.Ask == server.querySent {
+		server.queryPending = false
 	}
-	tooOld := event.Ask+rememberedAsks <= server.askSent
-	if event.Ask <= server.askAnswered || event.Ask > server.askSent || tooOld {
+	tooOld := event.Ask+queryWindow <= server.querySent
+	if event.Ask <= server.queryAnswered || event.Ask > server.querySent || tooOld {
 		return
 	}
 	before := m.currentPrimary()
-	server.askAnswered = event.Ask
+	server.queryAnswered = event.Ask
 	server.failures = 0
 	server.answers++
 	if !server.reported || server.answers >= answersToFit {
 		server.fit = true
 	}
 	server.report = event.Report
-	server.reportAskedAt = server.askTimes[event.Ask%rememberedAsks]
+	server.reportQueriedAt = server.querySentTimes[event.Ask%queryWindow]
 	server.reported = true
-	m.noticeTerm(event.Report.Term)
-	m.noticeFreshness()
+	m.adoptTerm(event.Report.Term)
+	m.updateFreshness()
 	m.advanceWaiting()
 	if m.currentPrimary() != before {
 		m.requeueReads()
 	}
 }
 
-// noticeTerm adopts a higher term and drops every server that still believes
-// itself primary of a lower one: what runs there can no longer be acknowledged.
-func (m *Machine) noticeTerm(term uint64) {
+// adoptTerm adopts a higher term and makes every server unfit that reports itself as the
+// primary of a lower one, since its commits can't be acknowledged any more.
+func (m *Machine) adoptTerm(term uint64) {
 	m.highestTerm = max(m.highestTerm, term)
 	for index := range m.servers {
 		server := &m.servers[index]
-		replaced := server.reported && server.report.Role == roleOfPrimary && server.report.Term < m.highestTerm
+		replaced := server.reported && server.report.Role == primaryRole && server.report.Term < m.highestTerm
 		if replaced && server.fit {
 			m.makeUnfit(index)
 		}
@@ -199,15 +200,16 @@
 	server.answers = 0
 	server.fresh = false
 	m.emit(Disconnect{Server: index})
-	m.abortPins(index)
+	m.abortTransactions(index)
 	m.requeueReads()
 }
 
-// abortPins ends the open transactions at a server.
-func (m *Machine) abortPins(index int) {
+// abortTransactions aborts the open transactions at a server, except those with a running
+// statement.
+func (m *Machine) abortTransactions(index int) {
 	var sessions []SessionID
-	for session, held := range m.pins {
-		if held.server == index && !m.sessionRuns(session) {
+	for session, transaction := range m.pins {
+		if transaction.server == index && !m.sessionRuns(session) {
 			sessions = append(sessions, session)
 		}
 	}
@@ -218,8 +220,8 @@
 	}
 }
 
-// sessionRuns reports whether a statement of the session runs now; its result
-// then ends the transaction.
+// sessionRuns reports whether a statement of the session is running. Its result then
+// ends the transaction.
 func (m *Machine) sessionRuns(session SessionID) bool {
 	target := m.requests[RequestID{Session: session, Number: m.lastNumber[session]}]
 	return target != nil && target.stage == stageRunning
@@ -244,14 +246,14 @@
 
 func (m *Machine) statusFailure(event StatusFailure) {
 	server := &m.servers[event.Server]
-	if event.Ask == server.askSent && server.askPending {
-		m.askFailed(event.Server)
+	if event.Ask == server.querySent && server.queryPending {
+		m.queryFailed(event.Server)
 	}
 }
 
-func (m *Machine) askFailed(index int) {
+func (m *Machine) queryFailed(index int) {
 	server := &m.servers[index]
-	server.askPending = false
+	server.queryPending = false
 	server.answers = 0
 	server.failures++
 	if server.failures >= failuresToUnfit && server.fit {
@@ -271,15 +273,15 @@
 	m.requeueReads()
 }
 
-// expire ends what has waited too long.
+// expire handles all timeouts: of status queries, grace periods and waiting requests.
 func (m *Machine) expire() {
 	for index := range m.servers {
 		server := &m.servers[index]
-		if server.askPending && m.now >= server.askAt+m.settings.AskTimeout {
-			m.askFailed(index)
+		if server.queryPending && m.now >= server.querySentAt+m.settings.AskTimeout {
+			m.queryFailed(index)
 		}
 		if server.leaving && !m.settings.Mutations.IgnoreLeaving && m.now >= server.leavingSince+m.settings.LeavingGrace {
-			m.abortPins(index)
+			m.abortTransactions(index)
 		}
 	}
 	m.expireWaiting()
@@ -290,36 +292,36 @@
 	if m.queued() == 0 || m.now < m.queueDeadline {
 		return
 	}
-	passed := func(target *pending) bool { return m.now >= target.deadline() }
-	late := append(m.primaryQueue.RemoveIf(passed), m.replicaQueue.RemoveIf(passed)...)
+	isExpired := func(target *pending) bool { return m.now >= target.deadline() }
+	expired := append(m.primaryQueue.RemoveIf(isExpired), m.replicaQueue.RemoveIf(isExpired)...)
 	for _, target := range m.pinnedQueue {
-		if passed(target) {
-			late = append(late, target)
+		if isExpired(target) {
+			expired = append(expired, target)
 		}
 	}
-	m.pinnedQueue = without(m.pinnedQueue, passed)
-	for _, target := range late {
-		m.refuse(target, m.lateKind(target))
+	m.pinnedQueue = without(m.pinnedQueue, isExpired)
+	for _, target := range expired {
+		m.reject(target, m.timeoutKind(target))
 	}
 	m.queueDeadline = m.now + m.settings.PollInterval
-	m.lowerQueueDeadline()
+	m.scanQueueDeadlines()
 }
 
-// lowerQueueDeadline finds the earliest deadline among queued requests.
-func (m *Machine) lowerQueueDeadline() {
-	note := func(target *pending) bool {
+// scanQueueDeadlines lowers queueDeadline to the earliest deadline of the queued requests.
+func (m *Machine) scanQueueDeadlines() {
+	include := func(target *pending) bool {
 		m.queueDeadline = min(m.queueDeadline, target.deadline())
 		return false
 	}
-	m.primaryQueue.RemoveIf(note)
-	m.replicaQueue.RemoveIf(note)
+	m.primaryQueue.RemoveIf(include)
+	m.replicaQueue.RemoveIf(include)
 	for _, target := range m.pinnedQueue {
-		note(target)
+		include(target)
 	}
 }
 
-// lateKind names why a request could not be served in time.
-func (m *Machine) lateKind(target *pending) failure.Kind {
+// timeoutKind returns the reason why a request could not be served in time.
+func (m *Machine) timeoutKind(target *pending) failure.Kind {
 	switch {
 	case target.primaryOnly && m.usablePrimary() == noServer:
 		return failure.NoPrimary
--- a/internal/postgres/group/sessions.go
+++ b/internal/postgres/group/sessions.go
@@ -5,8 +5,6 @@
 	"dewknot/internal/postgres/fairqueue"
 )
 
-// Ends of sessions and of single requests from outside.
-
 func (m *Machine) sessionEnd(session SessionID) {
 	delete(m.lastNumber, session)
 	for _, target := range m.sessionRequests(session) {
@@ -24,7 +22,7 @@
 	m.dropEnded()
 }
 
-// releaseRun frees what a run holds when its result no longer matters; the
+// releaseRun releases the resources of a run whose result isn't needed any more. The
 // runtime closes the connection.
 func (m *Machine) releaseRun(target *pending) {
 	if target.pinned {
@@ -55,10 +53,10 @@
 	case stageRunning:
 		target.canceled = true
 		m.emit(CancelRun{ID: id, Server: target.server})
-	case stageConfirm:
+	case stageConfirmation:
 		// The commit has happened: canceling is too late.
 	default:
-		m.refuse(target, failure.Canceled)
+		m.reject(target, failure.Canceled)
 		m.dropEnded()
 	}
 }
--- a/internal/postgres/group/settings.go
+++ b/internal/postgres/group/settings.go
@@ -13,36 +13,36 @@
 	// Slots and Connections are this owner's share of each server's limits.
 	Slots       int
 	Connections int
-	// QueueLimit bounds the number of waiting requests.
+	// QueueLimit is the maximum number of waiting requests.
 	QueueLimit int
 	Discipline fairqueue.Discipline
-	// PollInterval is the time between status questions when nothing needs them;
-	// ChangePoll replaces it while the group has no usable primary.
+	// PollInterval is the time between status queries to an idle group. ChangePoll
+	// replaces it while the group has no usable primary or the server is unfit.
 	PollInterval time.Duration
 	ChangePoll   time.Duration
-	// AskSpacing is the least time between two questions to one server.
+	// AskSpacing is the minimum time between two status queries to one server.
 	AskSpacing time.Duration
-	// AskTimeout is after how long a question counts as unanswered.
+	// AskTimeout is the timeout of a status query.
 	AskTimeout time.Duration
-	// ConfirmLimit is how long an answer waits for its confirmation before the
-	// outcome is reported as unknown.
+	// ConfirmLimit is the timeout of a confirmation, after which the outcome is
+	// reported as unknown.
 	ConfirmLimit time.Duration
-	// LeavingGrace is how long open transactions may go on at a leaving server.
+	// LeavingGrace is how long open transactions may continue at a leaving server.
 	LeavingGrace time.Duration
 	// NeedsFresh makes new work wait unless Fresh events arrive regularly.
 	NeedsFresh bool
-	// Mutations switch single mechanisms off; only tests of checkers set them.
+	// Mutations disable single mechanisms; only tests of checkers set them.
 	Mutations Mutations
 }
 
-// Mutations break one mechanism of the machine each, to prove that a checker
-// notices. No settings file reaches them.
+// Mutations each disable one mechanism of the machine, to test that a checker detects
+// it. They can't be set in a settings file.
 type Mutations struct {
-	// SkipConfirm acknowledges commits on the back end's word alone.
+	// SkipConfirm acknowledges commits without confirmation by a majority.
 	SkipConfirm bool
 	// SkipFloor lets any replica serve any read.
 	SkipFloor bool
-	// SkipClean lets servers that may hold a divergent tail serve reads.
+	// SkipClean lets servers that may have a divergent tail serve reads.
 	SkipClean bool
 	// RetryLostWrites runs a write again when its outcome is unknown.
 	RetryLostWrites bool
@@ -52,8 +52,8 @@
 	IgnoreLeaving bool
 }
 
-// DefaultSettings returns the settings for a group of three servers with the
-// limits of one of today's booking databases.
+// DefaultSettings returns the settings for a group of three servers with 5 slots and 40
+// connections each.
 func DefaultSettings() Settings {
 	return Settings{
 		Servers: 3, Slots: 5, Connections: 40, QueueLimit: 512,
@@ -63,12 +63,12 @@
 	}
 }
 
-// Hysteresis of a server's fitness: failures in a row that make it unfit, and
-// answers in a row that make it fit again.
+// Consecutive failures that make a server unfit, and consecutive answers that make it
+// fit again.
 const (
 	failuresToUnfit = 2
 	answersToFit    = 3
 )
 
-// maxRunAttempts bounds how often one request is started on servers.
+// maxRunAttempts is the maximum number of times that a request is started on servers.
 const maxRunAttempts = 4
--- a/internal/postgres/group/types.go
+++ b/internal/postgres/group/types.go
@@ -1,12 +1,12 @@
-// Package group is the reducer that serves one database group at its owner.
+// Package group implements the state machine that serves one database group on the node
+// that owns it.
 //
-// Machine.Step takes one event with its time and returns effects as data. It
-// holds no clock, I/O, random numbers or goroutines: the node's runtime and the
-// simulator drive the same code. The machine decides which server runs a
-// request, when it runs, waits or is refused, when an answer may be released,
-// and when a server is unfit. What makes its answers safe is stated at
-// confirm.go (acknowledgement) and reads.go (freshness); neither relies on this
-// node being the group's only owner.
+// Machine.Step takes an event with its time and returns effects as data. It uses no
+// clock, I/O, random numbers or goroutines, so the node's runtime and the simulator run
+// the same code. The machine decides which server runs a request and when, whether a
+// request waits or is rejected, when an answer may be released, and when a server is
+// unfit. The safety arguments are in confirm.go (acknowledgement) and reads.go
+// (freshness). Neither depends on this node being the group's only owner.
 package group
 
 import (
@@ -21,12 +21,12 @@
 
 // SessionID identifies a caller's connection across the fleet.
 type SessionID struct {
-	// Listener is unique to one run of one listener process.
+	// Listener is unique to one incarnation of a listener process.
 	Listener uint64 `msgpack:"l"`
 	Session  uint64 `msgpack:"s"`
 }
 
-// RequestID identifies a request; numbers of one session only grow.
+// RequestID identifies a request. The numbers of a session are strictly increasing.
 type RequestID struct {
 	Session SessionID `msgpack:"s"`
 	Number  uint64    `msgpack:"n"`
@@ -37,7 +37,7 @@
 	return fmt.Sprintf("%x.%d.%d", r.Session.Listener, r.Session.Session, r.Number)
 }
 
-// Request is what the machine needs to know of a request.
+// Request describes a request to the machine.
 type Request struct {
 	ID     RequestID `msgpack:"id"`
 	Caller string    `msgpack:"c"`
@@ -46,16 +46,16 @@
 	ReadOnly bool `msgpack:"ro"`
 	// Begins is true when the request opens an explicit transaction.
 	Begins bool `msgpack:"b"`
-	// InTransaction is true when the caller is inside a transaction.
+	// InTransaction is true when the caller has an open transaction.
 	InTransaction bool `msgpack:"tx"`
 	// MayCommit is true when running the request could commit something.
 	MayCommit bool        `msgpack:"mc"`
 	Rule      policy.Rule `msgpack:"r"`
-	// Floor is the position that the caller carries; zero if it carries none.
+	// Floor is the minimum position that the caller carries; zero if it carries none.
 	Floor position.Position `msgpack:"f"`
 }
 
-// Report is a server's answer to a status question.
+// Report is a server's answer to a status query.
 type Report = replication.Report
 
 // RunOutcome says how a run on a server ended.
@@ -63,7 +63,7 @@
 
 // The outcomes of a run.
 const (
-	// Completed: the whole answer, success or SQL error, has arrived.
+	// Completed: the complete answer, success or SQL error, has arrived.
 	Completed RunOutcome = iota
 	// NotStarted: no byte reached the server, or the server refused before running.
 	NotStarted
@@ -72,7 +72,7 @@
 	// Lost: the connection ended after the request was sent and before any part
 	// of the answer was passed on.
 	Lost
-	// LostPartway: like Lost, but part of the answer has been passed on.
+	// LostPartway: like Lost, but a part of the answer has been passed on.
 	LostPartway
 )
 
@@ -80,10 +80,10 @@
 type RunResult struct {
 	Outcome RunOutcome `msgpack:"o"`
 	// Wrote is true when the run committed something. Position is the server's log
-	// position read on the same connection after the run, if it was asked for.
+	// position read on the same connection after the run, if Run.Confirm requested it.
 	Wrote    bool              `msgpack:"w"`
 	Position position.Position `msgpack:"p"`
-	// TransactionOpen is true when the connection now is inside a transaction.
+	// TransactionOpen is true when the connection has an open transaction after the run.
 	TransactionOpen bool `msgpack:"t"`
 }
 
@@ -92,7 +92,7 @@
 
 // The events.
 type (
-	// Arrive brings a new request.
+	// Arrive adds a new request.
 	Arrive struct{ Request Request }
 	// Finish reports the end of a run.
 	Finish struct {
@@ -100,34 +100,34 @@
 		Server int
 		Result RunResult
 	}
-	// StatusAnswer brings a server's answer to a status question.
+	// StatusAnswer carries a server's answer to a status query.
 	StatusAnswer struct {
 		Server int
 		Ask    uint64
 		Report Report
 	}
-	// StatusFailure reports that a status question got no answer.
+	// StatusFailure reports that a status query failed.
 	StatusFailure struct {
 		Server int
 		Ask    uint64
 	}
-	// SessionEnd tells that a caller is gone, or that its listener is.
+	// SessionEnd reports that a caller or its listener has disconnected.
 	SessionEnd struct{ Session SessionID }
-	// Cancel asks to cancel a request.
+	// Cancel cancels a request.
 	Cancel struct{ ID RequestID }
-	// Leaving marks a server for a planned stop, or takes the mark away.
+	// Leaving marks a server for a planned stop, or removes the mark.
 	Leaving struct {
 		Server int
 		On     bool
 	}
-	// Accept opens or closes the machine for new requests; a node that drains closes it.
+	// Accept opens or closes the machine for new requests. A draining node closes it.
 	Accept struct{ Open bool }
 	// Resize changes this owner's share of each server's limits.
 	Resize struct{ Slots, Connections int }
-	// Fresh tells until when new work may begin: the node's knowledge of marks and
+	// Fresh sets until when new work may begin: the node's view of leaving marks and
 	// policies counts as current until then.
 	Fresh struct{ Until time.Duration }
-	// Tick lets time pass.
+	// Tick only advances the time.
 	Tick struct{}
 )
 
@@ -148,38 +148,39 @@
 
 // The effects.
 type (
-	// Run tells to run a request on a server; Pinned uses the session's connection.
+	// Run starts a request on a server. If Pinned is set, it uses the connection of the
+	// session's open transaction.
 	Run struct {
 		ID     RequestID
 		Server int
 		Pinned bool
-		// Confirm is set when the answer must be held until the server's position
-		// after the run, which the result must carry, is confirmed.
+		// Confirm is set when the answer must be held until the server's log position
+		// after the run is confirmed. The result must carry that position.
 		Confirm bool
 	}
-	// Reply ends a request: with Kind None its held answer is released, otherwise
-	// the answer is discarded and the failure sent.
+	// Reply ends a request. With Kind None the held answer is released; otherwise it is
+	// discarded and the failure is sent.
 	Reply struct {
 		ID         RequestID
 		Kind       failure.Kind
 		RetryAfter time.Duration
 		// Position is the position the caller may carry; zero if nothing was written.
 		Position position.Position
-		// Server is the one that ran the request, -1 if none did.
+		// Server is the server that ran the request, or -1.
 		Server int
 		// FromReplica is true when a replica served the answer.
 		FromReplica bool
 	}
-	// Ask tells to send a status question.
+	// Ask sends a status query.
 	Ask struct {
 		Server int
 		Number uint64
 	}
-	// Disconnect tells to close every connection to a server.
+	// Disconnect closes every connection to a server.
 	Disconnect struct{ Server int }
-	// Abort tells to close the connection that a session's transaction holds.
+	// Abort closes the connection of a session's open transaction.
 	Abort struct{ Session SessionID }
-	// CancelRun tells to send a cancel request for a running request.
+	// CancelRun sends a cancel request for a running request.
 	CancelRun struct {
 		ID     RequestID
 		Server int
