--- a/internal/postgres/core/control.go
+++ b/internal/postgres/core/control.go
@@ -1,10 +1,9 @@
-// Package core is the control part of a node's reducer: membership,
-// configuration and placement.
+// Package core implements a node's control state machine: membership, configuration and
+// placement.
 //
-// Control.Step takes one event with its time and returns effects as data, like
-// group.Machine does for the requests of one group. The reducer is split into
-// these shards so that the groups' requests run in parallel; no shard reads
-// another's state, only events and snapshots pass between them.
+// Control.Step takes an event with its time and returns effects as data, as group.Machine
+// does for the requests of one group. The state machines are separate so that the groups'
+// requests run in parallel. They share no state and only exchange events and snapshots.
 package core
 
 import (
@@ -16,34 +15,34 @@
 	"dewknot/internal/postgres/objectapi"
 )
 
-// Event is an input of the control reducer.
+// Event is an input of Control.
 type Event interface{ controlEvent() }
 
 // The events.
 type (
-	// Datagram brings a membership message.
+	// Datagram carries a membership message.
 	Datagram struct{ Message membership.Message }
-	// Tick lets time pass.
+	// Tick only advances the time.
 	Tick struct{}
-	// StoreListing brings objects that complete what lies above revision Since.
+	// StoreListing carries the store's objects above revision Since, up to Complete.
 	StoreListing struct {
 		Since    uint64
 		Objects  []objectapi.Object
 		Complete uint64
-		// AskedAt is when the store was asked.
+		// AskedAt is when the request to the store was sent.
 		AskedAt time.Duration
 	}
-	// Accepted brings an object that the store accepted from this node.
+	// Accepted carries an object that the store accepted from this node.
 	Accepted struct{ Object objectapi.Object }
-	// SyncAnswer brings a peer's answer to StartSync; Failed if there was none.
+	// SyncAnswer carries a peer's answer to StartSync. Failed is set if there was none.
 	SyncAnswer struct {
 		Peer   string
 		Failed bool
 		Answer SyncState
 	}
-	// MachineList brings the platform's list of machines.
+	// MachineList carries the platform's list of machines.
 	MachineList struct{ Machines []objectapi.Machine }
-	// Drain marks this node as being stopped.
+	// Drain marks this node as leaving because it is being stopped.
 	Drain struct{}
 )
 
@@ -55,38 +54,39 @@
 func (MachineList) controlEvent()  {}
 func (Drain) controlEvent()        {}
 
-// SyncState is what a node gives to a peer that synchronizes.
+// SyncState is a node's answer to a peer's synchronization request.
 type SyncState struct {
-	// Members is empty when the asker's list has the same digest.
+	// Members is empty if the requester's list has the same digest.
 	Members  []membership.Member `msgpack:"m"`
 	Objects  []objectapi.Object  `msgpack:"o"`
 	Complete uint64              `msgpack:"c"`
-	// Ready is false while the answering node is a newcomer itself.
+	// Ready is false while the answering node is still joining.
 	Ready bool `msgpack:"r"`
 }
 
-// Effect is an output of the control reducer.
+// Effect is an output of Control.
 type Effect interface{ controlEffect() }
 
 // The effects.
 type (
-	// Send tells to send a datagram.
+	// Send sends a datagram.
 	Send struct {
 		To      string
 		Message membership.Message
 	}
-	// StartSync tells to ask a peer for its state above a revision.
+	// StartSync requests a peer's state above revision Since. Members is the digest of
+	// this node's member list.
 	StartSync struct {
 		Peer    string
 		Since   uint64
 		Members uint64
 	}
-	// WatchStore tells to begin or end watching the platform's store.
+	// WatchStore starts or stops watching the platform's store.
 	WatchStore struct{ On bool }
-	// Publish tells to put a new snapshot in force.
+	// Publish installs a new snapshot.
 	Publish struct{ View *View }
-	// Freshened tells until when the node may begin new work without hearing
-	// from a peer or the store again.
+	// Freshened sets until when the node may begin new work unless a peer or the store
+	// answers again.
 	Freshened struct{ Until time.Duration }
 )
 
@@ -96,76 +96,79 @@
 func (Publish) controlEffect()    {}
 func (Freshened) controlEffect()  {}
 
-// MembersOnly is the revision from which a newcomer asks when it wants a peer's
-// list of members and no configuration.
+// MembersOnly is the revision in a synchronization request that asks for a peer's member
+// list without configuration.
 const MembersOnly = math.MaxUint64
 
-// maxPushBytes bounds the objects on a datagram; larger changes are fetched.
+// maxPushBytes is the maximum size of the objects in a datagram. Receivers fetch larger
+// changes themselves.
 const maxPushBytes = 900
 
-// Times of a newcomer and of synchronization.
+// Joining the fleet and synchronization.
 const (
-	// joinPeers is from how many peers a newcomer takes the highest configuration.
-	joinPeers = 2
-	// storePatience is how long a newcomer that has asked its peers waits for the
-	// store to tell what is newer.
-	storePatience = time.Second
-	// joinPatience is after how long one peer is enough.
-	joinPatience = 3 * time.Second
-	// syncTimeout is after how long a synchronization counts as failed.
+	// minJoinPeers is the number of peers from which a joining node fetches configuration
+	// before it becomes ready.
+	minJoinPeers = 2
+	// joinStoreTimeout is how long a joining node waits for the store, whose answer alone
+	// is sufficient, before the answers of minJoinPeers make it ready.
+	joinStoreTimeout = time.Second
+	// singlePeerTimeout is how long a joining node waits before one peer's answer is
+	// sufficient.
+	singlePeerTimeout = 3 * time.Second
+	// syncTimeout is the timeout of a synchronization.
 	syncTimeout = 2 * time.Second
-	// FreshLimit is how long a node begins new work without having asked a peer or
-	// the store that knew no newer configuration. A node that was paused, or cut
-	// off from all others, so stops before marks and policies can be long overdue.
-	FreshLimit = 4 * time.Second
-	// aloneLimit stands for no limit, on a node that never knew another.
-	aloneLimit = 365 * 24 * time.Hour
-	// memberBatch is the least time between snapshots that only renew members.
-	memberBatch = 100 * time.Millisecond
+	// FreshnessTimeout is how long a node begins new work after it sent the last request
+	// whose answer confirmed or completed its configuration. A node that was paused or
+	// partitioned stops before it misses leaving marks or policies for long.
+	FreshnessTimeout = 4 * time.Second
+	// aloneFreshness replaces the timeout on a node that never knew another node.
+	aloneFreshness = 365 * 24 * time.Hour
+	// memberBatchDelay is the minimum time between snapshots that only change members.
+	memberBatchDelay = 100 * time.Millisecond
 )
 
-// Control is the control state of one node.
+// Control is the control state of one node. It isn't safe for concurrent use.
 type Control struct {
-	members  *membership.Machine
-	config   *configuration.State
-	decoded  *configuration.Decoded
-	now      time.Duration
-	started  time.Duration
-	begun    bool
-	ready    bool
-	watching bool
-	// joined holds the peers from which a newcomer has taken configuration.
+	members     *membership.Machine
+	config      *configuration.State
+	decoded     *configuration.Decoded
+	now         time.Duration
+	started     time.Duration
+	initialized bool
+	ready       bool
+	watching    bool
+	// joined holds the ready peers from which a joining node has fetched configuration.
 	joined map[string]bool
-	// listed is set once a newcomer has taken a peer's list of members: it then
-	// fetches the configuration from random members. Newcomers know few nodes at
-	// first, all the same ones, which must not serve them all.
-	listed      bool
-	syncing     bool
-	syncStarted time.Duration
-	nextJoin    time.Duration
-	effects     []Effect
-	// publish is set when the snapshot must be renewed.
-	publish        bool
+	// hasMemberList is set once a joining node has a peer's member list. It then fetches
+	// the configuration from random members, since all joining nodes know the same few
+	// nodes at first and would overload them.
+	hasMemberList bool
+	syncing       bool
+	syncStarted   time.Duration
+	nextJoinAt    time.Duration
+	effects       []Effect
+	// publishNeeded is set when a new snapshot must be published immediately.
+	publishNeeded  bool
 	membersChanged bool
 	publishedAt    time.Duration
-	// freshAsOf is the latest time at which a peer or the store was asked that
-	// then told everything newer.
+	// freshAsOf is the latest send time of a request to which a peer or the store answered
+	// with all newer objects.
 	freshAsOf  time.Duration
 	freshUntil time.Duration
 }
 
-// NewControl returns the control state of a node that knows only itself.
+// NewControl returns the control state of a node without configuration.
 func NewControl(members *membership.Machine) *Control {
 	return &Control{
 		members: members, config: configuration.NewState(), decoded: configuration.NewDecoded(),
-		joined: map[string]bool{}, publish: true,
+		joined: map[string]bool{}, publishNeeded: true,
 	}
 }
 
-// Configuration gives read access to the configuration state.
+// Configuration returns the configuration state, which callers must not change.
 func (c *Control) Configuration() *configuration.State { return c.config }
 
-// Members gives read access to the member list.
+// Members returns the membership state, which callers must not change.
 func (c *Control) Members() *membership.Machine { return c.members }
 
 // Ready reports whether the node may serve.
@@ -175,8 +178,8 @@
 func (c *Control) Step(now time.Duration, event Event) []Effect {
 	c.now = now
 	c.effects = nil
-	if !c.begun {
-		c.begun = true
+	if !c.initialized {
+		c.initialized = true
 		c.started = now
 	}
 	switch typed := event.(type) {
@@ -196,10 +199,10 @@
 		c.members.Leave(true)
 		c.sendAll(c.members.Pushes(nil, 0, 0))
 	}
-	c.joinIfNew()
+	c.joinFleet()
 	c.syncIfDifferent()
-	c.renewSnapshot()
-	c.renewFreshness()
+	c.publishSnapshot()
+	c.updateFreshness()
 	return c.effects
 }
 
@@ -207,10 +210,10 @@
 func (c *Control) NextWake() time.Duration {
 	wake := c.members.NextWake()
 	if c.membersChanged {
-		wake = min(wake, max(c.publishedAt+memberBatch, c.now+time.Millisecond))
+		wake = min(wake, max(c.publishedAt+memberBatchDelay, c.now+time.Millisecond))
 	}
 	if !c.ready {
-		wake = min(wake, max(c.nextJoin, c.now+time.Millisecond))
+		wake = min(wake, max(c.nextJoinAt, c.now+time.Millisecond))
 	}
 	return wake
 }
@@ -227,7 +230,7 @@
 	if message.Kind == membership.Push && len(message.Objects) > 0 {
 		complete := message.Complete
 		if c.config.Complete() < message.Base {
-			complete = 0 // something before Base is missing here
+			complete = 0 // objects below Base are missing on this node
 		}
 		c.merge(message.Objects, message.Base, complete)
 	}
@@ -243,14 +246,13 @@
 	c.merge(listing.Objects, listing.Since, complete)
 	c.freshAsOf = max(c.freshAsOf, listing.AskedAt)
 	if !gap {
-		// The store itself has told everything above what was known: nothing newer
-		// can be missing.
+		// The store has listed everything above the known revision, so nothing is missing.
 		c.becomeReady()
 	}
 }
 
-// merge takes in objects and passes on what was new. Passing on only news makes
-// the spread end by itself.
+// merge adds objects to the configuration and pushes those that are new. Known objects
+// aren't pushed again, so that the propagation ends.
 func (c *Control) merge(objects []objectapi.Object, base, complete uint64) {
 	before := c.config.Complete()
 	changed := c.config.Merge(objects, complete)
@@ -260,16 +262,17 @@
 	}
 	c.decoded = c.decoded.Clone()
 	c.decoded.Apply(changed)
-	c.publish = true
+	c.publishNeeded = true
 	if !c.ready {
 		return
 	}
-	c.push(before, changed)
+	c.pushChanges(before, changed)
 }
 
-// push passes news on. When the complete revision moved, everything above the
-// old one goes along: a receiver at that revision then is complete as well.
-func (c *Control) push(before uint64, changed []objectapi.Object) {
+// pushChanges sends changed objects to other members. If the complete revision has
+// advanced, everything above the previous one is included, so that a receiver at the
+// previous revision becomes complete as well.
+func (c *Control) pushChanges(before uint64, changed []objectapi.Object) {
 	objects, base, complete := changed, uint64(0), uint64(0)
 	if c.config.Complete() > before {
 		objects, complete = c.config.Since(before)
@@ -282,10 +285,10 @@
 }
 
 func objectsSize(objects []objectapi.Object) int {
-	const overhead = 24
+	const objectOverhead = 24
 	size := 0
 	for _, object := range objects {
-		size += len(object.Key) + len(object.Value) + overhead
+		size += len(object.Key) + len(object.Value) + objectOverhead
 	}
 	return size
 }
@@ -293,29 +296,30 @@
 func (c *Control) becomeReady() {
 	if !c.ready && c.config.Len() > 0 {
 		c.ready = true
-		c.publish = true
+		c.publishNeeded = true
 	}
 }
 
-// joinIfNew lets a newcomer ask peers until it has a configuration to serve by.
-func (c *Control) joinIfNew() {
+// joinFleet requests state from peers until a joining node has enough configuration to
+// serve.
+func (c *Control) joinFleet() {
 	if c.ready {
 		return
 	}
 	waited := c.now - c.started
-	enough := len(c.joined) >= joinPeers && waited >= storePatience || len(c.joined) >= 1 && waited >= joinPatience
+	enough := len(c.joined) >= minJoinPeers && waited >= joinStoreTimeout || len(c.joined) >= 1 && waited >= singlePeerTimeout
 	if enough {
 		c.becomeReady()
 	}
-	if c.ready || c.syncing && c.now < c.syncStarted+syncTimeout || c.now < c.nextJoin {
+	if c.ready || c.syncing && c.now < c.syncStarted+syncTimeout || c.now < c.nextJoinAt {
 		return
 	}
-	c.nextJoin = c.now + joinRetry
+	c.nextJoinAt = c.now + joinRetryDelay
 	since := c.config.Complete()
-	if !c.listed {
+	if !c.hasMemberList {
 		since = MembersOnly
 	}
-	for _, peer := range c.members.RandomPeers(joinPeers+1, "") {
+	for _, peer := range c.members.RandomPeers(minJoinPeers+1, "") {
 		if !c.joined[peer] {
 			c.startSync(peer, since)
 			return
@@ -323,8 +327,8 @@
 	}
 }
 
-// joinRetry is the pause between a newcomer's questions.
-const joinRetry = 100 * time.Millisecond
+// joinRetryDelay is the delay between a joining node's requests.
+const joinRetryDelay = 100 * time.Millisecond
 
 func (c *Control) syncIfDifferent() {
 	peer := c.members.TakeSync()
@@ -332,13 +336,13 @@
 		return
 	}
 	if !c.ready {
-		return // a newcomer asks in its own order
+		return // joinFleet chooses the peers of a joining node
 	}
 	c.startSync(peer, c.config.Complete())
 }
 
 func (c *Control) startSync(peer string, since uint64) {
-	if _, known := c.members.Get(peer); !known {
+	if _, found := c.members.Get(peer); !found {
 		return
 	}
 	c.syncing = true
@@ -346,7 +350,8 @@
 	c.emit(StartSync{Peer: peer, Since: since, Members: c.members.Digest()})
 }
 
-// AnswerSync returns what a peer asks for; it changes nothing.
+// AnswerSync returns the answer to a peer's synchronization request. It doesn't change
+// the state.
 func (c *Control) AnswerSync(since, membersDigest uint64) SyncState {
 	answer := SyncState{Ready: c.ready}
 	if since != MembersOnly {
@@ -364,8 +369,8 @@
 		return
 	}
 	c.members.Learn(c.now, event.Answer.Members)
-	if !c.listed && !c.ready {
-		c.listed = true
+	if !c.hasMemberList && !c.ready {
+		c.hasMemberList = true
 		return
 	}
 	base := c.config.Complete()
@@ -376,10 +381,10 @@
 	}
 }
 
-func (c *Control) renewFreshness() {
-	until := max(c.freshAsOf, c.members.FreshAsOf()) + FreshLimit
+func (c *Control) updateFreshness() {
+	until := max(c.freshAsOf, c.members.FreshAsOf()) + FreshnessTimeout
 	if c.members.Alone() {
-		until = aloneLimit
+		until = aloneFreshness
 	}
 	if until != c.freshUntil {
 		c.freshUntil = until
@@ -387,17 +392,16 @@
 	}
 }
 
-// renewSnapshot publishes a new view after changes, and begins or ends watching
-// the store when this node's role changed.
-func (c *Control) renewSnapshot() {
+// publishSnapshot publishes a new view after changes, and starts or stops watching the
+// store if this node has become or ceased to be a reader.
+func (c *Control) publishSnapshot() {
 	c.membersChanged = c.members.Changed() || c.membersChanged
-	// Changes of members alone wait a little for more of them: the loss of a zone
-	// brings hundreds at once.
-	due := c.membersChanged && c.now >= c.publishedAt+memberBatch
-	if !due && !c.publish {
+	// Changes of members alone are batched: the loss of a zone causes hundreds at once.
+	membersDue := c.membersChanged && c.now >= c.publishedAt+memberBatchDelay
+	if !membersDue && !c.publishNeeded {
 		return
 	}
-	c.publish, c.membersChanged = false, false
+	c.publishNeeded, c.membersChanged = false, false
 	c.publishedAt = c.now
 	view := newView(c.members, c.decoded, c.config.Digest(), c.ready)
 	c.emit(Publish{View: view})
--- a/internal/postgres/core/view.go
+++ b/internal/postgres/core/view.go
@@ -8,30 +8,30 @@
 	"dewknot/internal/postgres/membership"
 )
 
-// OwnerCount is how many nodes are prepared to serve a group: its owner and one
-// stand-by.
+// OwnerCount is the number of nodes that may serve a group: its owner and one standby.
 const OwnerCount = 2
 
-// ReaderCount is how many nodes watch the platform's store.
+// ReaderCount is the number of nodes that watch the platform's store.
 const ReaderCount = 3
 
 // readerKey is the placement key of the store readers.
 const readerKey = "store-readers"
 
-// View is an immutable snapshot of what a node knows of the fleet. The request
-// path reads it through an atomic pointer.
+// View is an immutable snapshot of a node's view of the fleet: itself, the members and
+// the configuration. It is safe for concurrent use; requests read it through an atomic
+// pointer.
 type View struct {
 	Self    membership.Member
 	Members []membership.Member
 	Config  *configuration.Decoded
 	// Digest is the configuration's digest at the time of the snapshot.
 	Digest configuration.Digest
-	// Ready is false until the node has a configuration it may serve by.
+	// Ready is false until the node has a configuration with which it may serve.
 	Ready bool
 
-	byID      map[string]membership.Member
-	placeable []placement.Candidate
-	owners    sync.Map // group name -> []string; filled on demand
+	byID        map[string]membership.Member
+	placeable   []placement.Candidate
+	ownersCache sync.Map // group name -> []string; filled on demand
 }
 
 func newView(members *membership.Machine, config *configuration.Decoded, digest configuration.Digest, ready bool) *View {
@@ -48,9 +48,9 @@
 	return view
 }
 
-// Owners returns the identifiers of a group's owner and stand-by, owner first.
+// Owners returns the identifiers of a group's owner and standby, owner first.
 func (v *View) Owners(group string) []string {
-	if found, ok := v.owners.Load(group); ok {
+	if found, ok := v.ownersCache.Load(group); ok {
 		return found.([]string)
 	}
 	homeZone := ""
@@ -58,11 +58,11 @@
 		homeZone = config.HomeZone()
 	}
 	ranked := placement.Rank(group, homeZone, v.placeable, OwnerCount)
-	v.owners.Store(group, ranked)
+	v.ownersCache.Store(group, ranked)
 	return ranked
 }
 
-// Member returns a running member.
+// Member returns a running member by its identifier.
 func (v *View) Member(id string) (membership.Member, bool) {
 	member, ok := v.byID[id]
 	return member, ok
