--- a/internal/postgres/forward/decide.go
+++ b/internal/postgres/forward/decide.go
@@ -1,19 +1,19 @@
-// Package forward sends a listener's requests to the owner of their group and
-// decides what to do when that fails.
+// Package forward sends a listener's requests to the owner of their group and decides
+// whether a failed request may be retried.
 package forward
 
 import (
 	"dewknot/internal/base/failure"
 )
 
-// Ending is how an attempt to have a request served ended without a result.
+// Ending says how an attempt ended without a result.
 type Ending uint8
 
-// The endings.
+// The endings of failed attempts.
 const (
-	// NotSent: no byte of the request reached the node asked.
+	// NotSent: no byte of the request reached the node.
 	NotSent Ending = iota
-	// NotOwner: the node asked refused because it does not serve the group.
+	// NotOwner: the node rejected the request because it doesn't own the group.
 	NotOwner
 	// LinkLost: the link ended after the request was sent.
 	LinkLost
@@ -22,40 +22,41 @@
 // Attempt describes a failed attempt.
 type Attempt struct {
 	Ending Ending
-	// ReadOnly is true when running the request twice does no harm.
+	// ReadOnly is true when the request can safely run twice.
 	ReadOnly bool
 	// MayCommit is true when the request could have committed something.
 	MayCommit bool
-	// InTransaction is true when only the node asked holds the transaction.
+	// InTransaction is true when the request belongs to a transaction that is open on the
+	// node.
 	InTransaction bool
-	// PassedOn is true when the caller has received part of the answer.
+	// PassedOn is true when the caller has received a part of the answer.
 	PassedOn bool
-	// Tries counts attempts so far.
+	// Tries is the number of attempts so far.
 	Tries int
 }
 
-// maxTries bounds the attempts for one request.
-const maxTries = 6
+// maxAttempts is the maximum number of attempts for a request.
+const maxAttempts = 6
 
-// Decision is what to do next.
+// Decision says how to continue after a failed attempt.
 type Decision struct {
-	// Retry is true when another node may be asked.
+	// Retry is true when the request may be sent again.
 	Retry bool
-	// Kind is the failure to answer with when Retry is false.
+	// Kind is the failure to return when Retry is false.
 	Kind failure.Kind
-	// Disconnect is true when the caller's connection must end, since it has
-	// part of an answer that cannot be completed.
+	// Disconnect is true when the caller's connection must be closed, since the caller
+	// has a part of an answer that can't be completed.
 	Disconnect bool
 }
 
-// Decide is pure; the listener and the simulator call it alike. A request is
-// sent again only if it surely was not run, or if it only reads and the caller
-// has received nothing of the answer.
+// Decide returns how to continue after a failed attempt. A request is sent again only if
+// it certainly wasn't run, or if it only reads and the caller has received no part of the
+// answer. Decide is a pure function, which the simulator calls as well.
 func Decide(attempt Attempt) Decision {
-	mayTryAgain := attempt.Tries < maxTries && !attempt.InTransaction
+	canRetry := attempt.Tries < maxAttempts && !attempt.InTransaction
 	switch attempt.Ending {
 	case NotSent, NotOwner:
-		if mayTryAgain {
+		if canRetry {
 			return Decision{Retry: true}
 		}
 		if attempt.InTransaction {
@@ -63,15 +64,15 @@
 		}
 		return Decision{Kind: failure.NoServer}
 	default:
-		return decideLost(attempt, mayTryAgain)
+		return decideLost(attempt, canRetry)
 	}
 }
 
-func decideLost(attempt Attempt, mayTryAgain bool) Decision {
+func decideLost(attempt Attempt, canRetry bool) Decision {
 	switch {
 	case attempt.PassedOn:
 		return Decision{Kind: failure.OutcomeUnknown, Disconnect: true}
-	case attempt.ReadOnly && mayTryAgain:
+	case attempt.ReadOnly && canRetry:
 		return Decision{Retry: true}
 	case attempt.MayCommit, attempt.ReadOnly && !attempt.InTransaction:
 		return Decision{Kind: failure.OutcomeUnknown}
--- a/internal/postgres/forward/decide_test.go
+++ b/internal/postgres/forward/decide_test.go
@@ -17,7 +17,7 @@
 	}{
 		"write, not sent":              {Attempt{Ending: NotSent, MayCommit: true}, Decision{Retry: true}},
 		"write, not the owner":         {Attempt{Ending: NotOwner, MayCommit: true, Tries: 1}, Decision{Retry: true}},
-		"write, not sent, often":       {Attempt{Ending: NotSent, MayCommit: true, Tries: maxTries}, Decision{Kind: failure.NoServer}},
+		"write, not sent, often":       {Attempt{Ending: NotSent, MayCommit: true, Tries: maxAttempts}, Decision{Kind: failure.NoServer}},
 		"write, lost":                  {Attempt{Ending: LinkLost, MayCommit: true}, Decision{Kind: failure.OutcomeUnknown}},
 		"read, lost":                   {Attempt{Ending: LinkLost, ReadOnly: true}, Decision{Retry: true}},
 		"read, lost after a part":      {Attempt{Ending: LinkLost, ReadOnly: true, PassedOn: true}, Decision{Kind: failure.OutcomeUnknown, Disconnect: true}},
@@ -30,8 +30,9 @@
 	}
 }
 
-// What may have run is never sent again and never called not run.
-func TestNothingThatMayHaveRunIsSentAgain(t *testing.T) {
+// Guards against retrying a request that may have committed, and against reporting it as
+// not run.
+func TestPossiblyCommittedRequestIsNotRetried(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		attempt := Attempt{
 			Ending: LinkLost, MayCommit: true, InTransaction: rapid.Bool().Draw(t, "in transaction"),
--- a/internal/postgres/forward/router.go
+++ b/internal/postgres/forward/router.go
@@ -16,7 +16,7 @@
 	"dewknot/internal/postgres/request"
 )
 
-// Router finds the nodes that serve a group and sends requests to them.
+// Router sends requests to the nodes that serve their group. It is safe for concurrent use.
 type Router struct {
 	keys  peer.Keys
 	local request.Server
@@ -25,15 +25,16 @@
 	Forwarded, Local atomic.Uint64
 
 	mu      sync.RWMutex
-	clients map[string]*peer.Client // by node
+	clients map[string]*peer.Client // by node identifier
 }
 
-// NewRouter returns a router that serves groups of this node through local.
+// NewRouter returns a router that sends requests for groups of this node to local.
 func NewRouter(keys peer.Keys, local request.Server) *Router {
 	return &Router{keys: keys, local: local, clients: map[string]*peer.Client{}}
 }
 
-// Update puts a new view in force and drops links to nodes that are gone.
+// Update installs a new view and closes the links to nodes that are gone or have a new
+// address.
 func (r *Router) Update(view *core.View) {
 	r.view.Store(view)
 	r.mu.Lock()
@@ -47,10 +48,10 @@
 	}
 }
 
-// View returns the view in force.
+// View returns the current view.
 func (r *Router) View() *core.View { return r.view.Load() }
 
-// Client returns the client for a peer, or nil if it is not a running member.
+// Client returns the client of a peer, or nil if the peer isn't a running member.
 func (r *Router) Client(id string) *peer.Client {
 	r.mu.RLock()
 	found := r.clients[id]
@@ -71,7 +72,7 @@
 	return r.clients[id]
 }
 
-// Close ends all links.
+// Close closes all links.
 func (r *Router) Close() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -80,7 +81,7 @@
 	}
 }
 
-func (r *Router) server(id string) request.Server {
+func (r *Router) serverFor(id string) request.Server {
 	view := r.view.Load()
 	if id == view.Self.ID {
 		return r.local
@@ -91,49 +92,50 @@
 	return nil
 }
 
-// Served is the end of a request at the listener.
+// Served is the result of Submit.
 type Served struct {
 	Result request.Result
-	// Owner is the node that served the request, "" if none did.
+	// Owner is the node that served the request, or "".
 	Owner string
-	// Disconnect is true when the caller's connection must end.
+	// Disconnect is true when the caller's connection must be closed.
 	Disconnect bool
 }
 
-// tryPause is the pause before the third and later attempts.
-const tryPause = 50 * time.Millisecond
+// retryDelay is the delay before each attempt once the owner and the standby have failed.
+const retryDelay = 50 * time.Millisecond
 
-// Submit has a request served. A request inside a transaction goes to the node
-// that holds it, named by pinned; others go to the owner, then to its stand-by.
+// Submit sends a request to a node that serves it, with retries. If the caller has an open
+// transaction, pinned names the node that holds it. Other requests go to the owner and the
+// standby in turn.
 func (r *Router) Submit(ctx context.Context, submitted *request.Request, pinned string, chunk func([]byte) error) Served {
-	passedOn := false
-	counting := func(data []byte) error {
-		passedOn = true
+	partDelivered := false
+	trackedChunk := func(data []byte) error {
+		partDelivered = true
 		return chunk(data)
 	}
 	info := submitted.Info
 	attempt := Attempt{ReadOnly: info.ReadOnly, MayCommit: info.MayCommit, InTransaction: info.InTransaction}
 	for {
 		id := r.pick(submitted.Group, pinned, attempt.Tries)
-		result, ending, ok := r.once(ctx, id, submitted, counting)
+		result, ending, ok := r.tryNode(ctx, id, submitted, trackedChunk)
 		if ok {
 			return Served{Result: result, Owner: id}
 		}
-		attempt.Ending, attempt.PassedOn = ending, passedOn
+		attempt.Ending, attempt.PassedOn = ending, partDelivered
 		attempt.Tries++
 		decision := Decide(attempt)
 		if !decision.Retry {
 			return Served{Result: request.Failed(decision.Kind, "", retryAfter), Disconnect: decision.Disconnect}
 		}
-		if attempt.Tries >= core.OwnerCount && !pause.For(ctx, tryPause) {
+		if attempt.Tries >= core.OwnerCount && !pause.For(ctx, retryDelay) {
 			return Served{Result: request.Failed(failure.NoServer, "", retryAfter)}
 		}
-		// The number must grow: the node asked next may have seen the last one.
+		// The next node may have seen the previous number and would ignore it as a duplicate.
 		submitted.Info.ID.Number++
 	}
 }
 
-// retryAfter is what a caller is told when no owner could be reached.
+// retryAfter is the retry delay that callers get when no owner could be reached.
 const retryAfter = 500 * time.Millisecond
 
 func (r *Router) pick(groupName, pinned string, tries int) string {
@@ -147,9 +149,9 @@
 	return owners[tries%len(owners)]
 }
 
-// once makes one attempt; ok is false if there is no result.
-func (r *Router) once(ctx context.Context, id string, submitted *request.Request, chunk func([]byte) error) (request.Result, Ending, bool) {
-	target := r.server(id)
+// tryNode makes one attempt. If ok is false, there is no result and Ending says why.
+func (r *Router) tryNode(ctx context.Context, id string, submitted *request.Request, chunk func([]byte) error) (request.Result, Ending, bool) {
+	target := r.serverFor(id)
 	if target == nil {
 		return request.Result{}, NotSent, false
 	}
@@ -172,16 +174,16 @@
 	return request.Result{}, LinkLost, false
 }
 
-// EndSession tells the node that holds a session's transaction that it is gone.
+// EndSession informs the node that holds a session's transaction that the session has ended.
 func (r *Router) EndSession(owner, groupName string, session group.SessionID) {
-	if target := r.server(owner); target != nil {
+	if target := r.serverFor(owner); target != nil {
 		target.EndSession(groupName, session)
 	}
 }
 
-// Cancel passes a cancel request on.
+// Cancel sends a cancel request to the node that serves the request.
 func (r *Router) Cancel(owner, groupName string, id group.RequestID) {
-	if target := r.server(owner); target != nil {
+	if target := r.serverFor(owner); target != nil {
 		target.Cancel(groupName, id)
 	}
 }
