--- a/internal/postgres/fairqueue/queue.go
+++ b/internal/postgres/fairqueue/queue.go
@@ -1,9 +1,9 @@
-// Package fairqueue orders waiting requests among callers.
+// Package fairqueue orders the waiting requests of several callers.
 //
-// Two resources are shared: slots (statements running) and connections (held
-// through a transaction, also while its caller thinks). The queue keeps one
-// first-in first-out list a caller and picks the next caller by a discipline.
-// The package is pure and deterministic.
+// Callers share two resources: slots, one for each running statement, and connections,
+// which a transaction keeps while it is idle as well. A Queue has a first-in, first-out
+// list for each caller and picks the next caller by a discipline. It is deterministic and
+// not safe for concurrent use.
 package fairqueue
 
 import "sort"
@@ -11,17 +11,16 @@
 // Discipline is the rule by which the next caller is picked.
 type Discipline uint8
 
-// The disciplines. docs/MEASUREMENTS.md compares them.
+// The disciplines.
 const (
-	// WeightedFair picks the caller with the least service received for its
+	// WeightedFair picks the caller that has received the least service relative to its
 	// weight (start-time fair queueing).
 	WeightedFair Discipline = iota
-	// FirstInFirstOut ignores callers.
+	// FirstInFirstOut serves items in the order of their arrival, regardless of callers.
 	FirstInFirstOut
-	// DominantResource picks the caller whose larger share of the two resources,
-	// divided by its weight, is smallest at the moment. It follows the idea of
-	// dominant-resource fairness in "Multi-Resource Fair Queueing... Hierarchical
-	// Scheduling for Diverse Datacenter Workloads (H-DRF)".
+	// DominantResource picks the caller with the smallest dominant share in use: the
+	// larger of its shares of the two resources, divided by its weight. See
+	// "Hierarchical Scheduling for Diverse Datacenter Workloads" (H-DRF).
 	DominantResource
 )
 
@@ -34,34 +33,34 @@
 type caller[T any] struct {
 	name    string
 	weight  float64
-	service float64 // virtual time: service received divided by weight
+	service float64 // virtual time: received service divided by weight
 	usage   Resources
 	waiting []entry[T]
 }
 
 type entry[T any] struct {
-	item    T
-	arrival uint64
+	item          T
+	arrivalNumber uint64
 }
 
-// Queue holds waiting items of many callers.
+// Queue holds the waiting items of several callers.
 type Queue[T any] struct {
 	discipline Discipline
 	capacity   Resources
 	callers    map[string]*caller[T]
-	// active lists callers with waiting items in the order of their names.
-	active   []*caller[T]
-	virtual  float64
-	arrivals uint64
-	length   int
+	// activeCallers holds the callers with waiting items, sorted by name.
+	activeCallers []*caller[T]
+	virtualTime   float64
+	lastArrival   uint64
+	length        int
 }
 
-// New returns an empty queue for resources of a given capacity.
+// New returns an empty queue for resources with the given capacity.
 func New[T any](discipline Discipline, capacity Resources) *Queue[T] {
 	return &Queue[T]{discipline: discipline, capacity: capacity, callers: map[string]*caller[T]{}}
 }
 
-// SetCapacity changes the capacity against which shares are computed.
+// SetCapacity changes the capacity that shares are relative to.
 func (q *Queue[T]) SetCapacity(capacity Resources) { q.capacity = capacity }
 
 // Len returns the number of waiting items.
@@ -70,47 +69,47 @@
 func (q *Queue[T]) caller(name string) *caller[T] {
 	found, ok := q.callers[name]
 	if !ok {
-		found = &caller[T]{name: name, weight: 1, service: q.virtual}
+		found = &caller[T]{name: name, weight: 1, service: q.virtualTime}
 		q.callers[name] = found
 	}
 	return found
 }
 
-// Push appends an item of a caller with the caller's weight.
+// Push appends an item to a caller's list and sets the caller's weight.
 func (q *Queue[T]) Push(name string, weight int, item T) {
-	owner := q.caller(name)
-	owner.weight = float64(max(weight, 1))
-	if len(owner.waiting) == 0 {
-		owner.service = max(owner.service, q.virtual)
-		q.activate(owner)
+	c := q.caller(name)
+	c.weight = float64(max(weight, 1))
+	if len(c.waiting) == 0 {
+		c.service = max(c.service, q.virtualTime)
+		q.activate(c)
 	}
-	q.arrivals++
+	q.lastArrival++
 	q.length++
-	owner.waiting = append(owner.waiting, entry[T]{item: item, arrival: q.arrivals})
+	c.waiting = append(c.waiting, entry[T]{item: item, arrivalNumber: q.lastArrival})
 }
 
-func (q *Queue[T]) activate(owner *caller[T]) {
-	at := sort.Search(len(q.active), func(index int) bool { return q.active[index].name >= owner.name })
-	q.active = append(q.active, nil)
-	copy(q.active[at+1:], q.active[at:])
-	q.active[at] = owner
+func (q *Queue[T]) activate(c *caller[T]) {
+	at := sort.Search(len(q.activeCallers), func(index int) bool { return q.activeCallers[index].name >= c.name })
+	q.activeCallers = append(q.activeCallers, nil)
+	copy(q.activeCallers[at+1:], q.activeCallers[at:])
+	q.activeCallers[at] = c
 }
 
-func (q *Queue[T]) deactivate(owner *caller[T]) {
-	for index, candidate := range q.active {
-		if candidate == owner {
-			q.active = append(q.active[:index], q.active[index+1:]...)
+func (q *Queue[T]) deactivate(c *caller[T]) {
+	for index, candidate := range q.activeCallers {
+		if candidate == c {
+			q.activeCallers = append(q.activeCallers[:index], q.activeCallers[index+1:]...)
 			return
 		}
 	}
 }
 
-// Pop removes the next item by the discipline among those that runnable
-// accepts; only the first item of each caller is offered.
+// Pop removes and returns the next item for which runnable is true. Only the first item
+// of each caller is considered.
 func (q *Queue[T]) Pop(runnable func(T) bool) (item T, ok bool) {
 	var best *caller[T]
-	for _, candidate := range q.active {
-		if (best == nil || q.before(candidate, best)) && runnable(candidate.waiting[0].item) {
+	for _, candidate := range q.activeCallers {
+		if (best == nil || q.precedes(candidate, best)) && runnable(candidate.waiting[0].item) {
 			best = candidate
 		}
 	}
@@ -118,16 +117,16 @@
 		return item, false
 	}
 	item = best.waiting[0].item
-	q.drop(best, 0)
-	q.virtual = max(q.virtual, best.service)
+	q.removeAt(best, 0)
+	q.virtualTime = max(q.virtualTime, best.service)
 	best.service += 1 / best.weight
 	return item, true
 }
 
-func (q *Queue[T]) before(first, second *caller[T]) bool {
+func (q *Queue[T]) precedes(first, second *caller[T]) bool {
 	switch q.discipline {
 	case FirstInFirstOut:
-		return first.waiting[0].arrival < second.waiting[0].arrival
+		return first.waiting[0].arrivalNumber < second.waiting[0].arrivalNumber
 	case DominantResource:
 		firstShare, secondShare := q.dominantShare(first), q.dominantShare(second)
 		if firstShare != secondShare {
@@ -137,28 +136,28 @@
 	return first.service < second.service
 }
 
-func (q *Queue[T]) dominantShare(owner *caller[T]) float64 {
-	slots := float64(owner.usage.Slots) / float64(max(q.capacity.Slots, 1))
-	connections := float64(owner.usage.Connections) / float64(max(q.capacity.Connections, 1))
-	return max(slots, connections) / owner.weight
+func (q *Queue[T]) dominantShare(c *caller[T]) float64 {
+	slots := float64(c.usage.Slots) / float64(max(q.capacity.Slots, 1))
+	connections := float64(c.usage.Connections) / float64(max(q.capacity.Connections, 1))
+	return max(slots, connections) / c.weight
 }
 
-func (q *Queue[T]) drop(owner *caller[T], index int) {
-	owner.waiting = append(owner.waiting[:index], owner.waiting[index+1:]...)
+func (q *Queue[T]) removeAt(c *caller[T], index int) {
+	c.waiting = append(c.waiting[:index], c.waiting[index+1:]...)
 	q.length--
-	if len(owner.waiting) == 0 {
-		q.deactivate(owner)
+	if len(c.waiting) == 0 {
+		q.deactivate(c)
 	}
 }
 
 // RemoveIf removes and returns all items for which remove is true.
 func (q *Queue[T]) RemoveIf(remove func(T) bool) []T {
 	var removed []T
-	for _, owner := range append([]*caller[T](nil), q.active...) {
-		for index := 0; index < len(owner.waiting); {
-			if item := owner.waiting[index].item; remove(item) {
+	for _, c := range append([]*caller[T](nil), q.activeCallers...) {
+		for index := 0; index < len(c.waiting); {
+			if item := c.waiting[index].item; remove(item) {
 				removed = append(removed, item)
-				q.drop(owner, index)
+				q.removeAt(c, index)
 				continue
 			}
 			index++
@@ -167,19 +166,19 @@
 	return removed
 }
 
-// Acquire notes that a caller has taken resources.
+// Acquire records that a caller has acquired resources.
 func (q *Queue[T]) Acquire(name string, amount Resources) {
-	owner := q.caller(name)
-	owner.usage.Slots += amount.Slots
-	owner.usage.Connections += amount.Connections
+	c := q.caller(name)
+	c.usage.Slots += amount.Slots
+	c.usage.Connections += amount.Connections
 }
 
-// Release notes that a caller has given resources back.
+// Release records that a caller has released resources.
 func (q *Queue[T]) Release(name string, amount Resources) {
-	owner := q.caller(name)
-	owner.usage.Slots -= amount.Slots
-	owner.usage.Connections -= amount.Connections
-	if len(owner.waiting) == 0 && owner.usage == (Resources{}) && owner.service <= q.virtual {
+	c := q.caller(name)
+	c.usage.Slots -= amount.Slots
+	c.usage.Connections -= amount.Connections
+	if len(c.waiting) == 0 && c.usage == (Resources{}) && c.service <= q.virtualTime {
 		delete(q.callers, name)
 	}
 }
--- a/internal/postgres/fairqueue/queue_test.go
+++ b/internal/postgres/fairqueue/queue_test.go
@@ -12,6 +12,7 @@
 
 func always(int) bool { return true }
 
+// Guards against service that isn't in proportion to the callers' weights.
 func TestWeightedFairSharesByWeight(t *testing.T) {
 	queue := New[int](WeightedFair, Resources{Slots: 5, Connections: 40})
 	for index := range 100 {
@@ -29,9 +30,8 @@
 	must.Eq(t, 40, passenger)
 }
 
-// No discipline loses, doubles or reorders the items of one caller, and a
-// caller with waiting items is served within a bounded number of pops.
-func TestEveryItemComesOutOnceInOrder(t *testing.T) {
+// Guards against disciplines that lose, duplicate or reorder the items of a caller.
+func TestItemsOfACallerStayInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		discipline := Discipline(rapid.IntRange(0, 2).Draw(t, "discipline"))
 		queue := New[string](discipline, Resources{Slots: 5, Connections: 10})
@@ -45,9 +45,9 @@
 				continue
 			}
 			if item, ok := queue.Pop(func(string) bool { return true }); ok {
-				owner := item[:1]
-				must.Eq(t, fmt.Sprintf("%s%d", owner, expected[owner]), item)
-				expected[owner]++
+				callerName := item[:1]
+				must.Eq(t, fmt.Sprintf("%s%d", callerName, expected[callerName]), item)
+				expected[callerName]++
 			}
 		}
 		remaining := queue.RemoveIf(func(string) bool { return true })
@@ -56,6 +56,7 @@
 	})
 }
 
+// Guards against shares that ignore the connections of idle transactions.
 func TestDominantResourceCountsHeldConnections(t *testing.T) {
 	queue := New[int](DominantResource, Resources{Slots: 10, Connections: 10})
 	queue.Acquire("reseller", Resources{Connections: 6})
