--- a/internal/postgres/request/request.go
+++ b/internal/postgres/request/request.go
@@ -1,4 +1,5 @@
-// Package request defines what passes between a listener and a group's owner.
+// Package request defines the requests that a listener sends to a group's owner, and
+// their results.
 package request
 
 import (
@@ -12,38 +13,38 @@
 	"dewknot/internal/postgres/group"
 )
 
-// Request is a caller's batch with what the owner needs to decide on it.
+// Request is a caller's batch with the information by which the owner schedules it.
 type Request struct {
 	Group string        `msgpack:"g"`
 	Info  group.Request `msgpack:"i"`
 	Batch backend.Batch `msgpack:"b"`
 }
 
-// Result ends a request.
+// Result is the result of a request.
 type Result struct {
-	// Kind is failure.None when Data holds the whole rest of the answer.
+	// Kind is failure.None when Data completes the answer.
 	Kind       failure.Kind  `msgpack:"k"`
 	Detail     string        `msgpack:"d"`
 	RetryAfter time.Duration `msgpack:"r"`
-	// Status is the transaction state that the caller must be shown.
+	// Status is the transaction status to report to the caller.
 	Status byte `msgpack:"t"`
 	// Synced is false when the batch ended with Flush.
 	Synced      bool              `msgpack:"y"`
 	Position    position.Position `msgpack:"p"`
 	FromReplica bool              `msgpack:"f"`
-	// Data is the last part of the answer.
+	// Data is the last part of the answer. Earlier parts are passed to Submit's chunk.
 	Data []byte `msgpack:"a"`
 }
 
-// Failed returns a result that carries a failure.
+// Failed returns the result of a failed request.
 func Failed(kind failure.Kind, detail string, retryAfter time.Duration) Result {
 	return Result{Kind: kind, Detail: detail, RetryAfter: retryAfter, Status: backend.Idle, Synced: true}
 }
 
-// LinkError tells that no result came from another node.
+// LinkError reports that another node returned no result.
 type LinkError struct {
 	Peer string
-	// Sent is true when the request may have reached the peer.
+	// Sent is true if the request may have reached the peer.
 	Sent  bool
 	Cause error
 }
@@ -56,13 +57,14 @@
 	return fmt.Sprintf("no link to %s: %v", e.Peer, e.Cause)
 }
 
-// Server serves requests for groups: an owner in this process or a peer.
+// Server serves requests for groups, either as an owner in this process or as the client
+// of a peer.
 type Server interface {
-	// Submit runs a request. Parts of the answer go to chunk as they arrive; the
-	// last part comes with the result. The error, if any, is a *LinkError.
+	// Submit runs a request. It passes the parts of the answer to chunk as they arrive,
+	// except the last, which the result contains. The error, if any, is a *LinkError.
 	Submit(ctx context.Context, request *Request, chunk func([]byte) error) (Result, error)
-	// EndSession tells that a session is gone: its transaction is rolled back.
+	// EndSession ends a session and rolls back its open transaction.
 	EndSession(groupName string, session group.SessionID)
-	// Cancel asks to cancel a request.
+	// Cancel cancels a request if it hasn't ended yet.
 	Cancel(groupName string, id group.RequestID)
 }
