--- a/internal/postgres/policy/compile.go
+++ b/internal/postgres/policy/compile.go
@@ -12,16 +12,16 @@
 
 // Limits on a policy program.
 const (
-	// MaxSourceBytes bounds the program text.
+	// MaxSourceBytes is the maximum size of a program.
 	MaxSourceBytes = 64 << 10
 	maxSteps       = 200_000
 	maxKinds       = 1000
 	maxShares      = 1000
-	// maxWait bounds every duration in a policy.
-	maxWait = time.Hour
+	// maxDuration is the maximum of every duration in a policy.
+	maxDuration = time.Hour
 )
 
-// Error is a fault in a policy program, with its place.
+// Error is an error in a policy program, with its position and a remedy.
 type Error struct {
 	File    string
 	Line    int32
@@ -35,82 +35,84 @@
 	return fmt.Sprintf("%s:%d:%d: %s; remedy: %s", e.File, e.Line, e.Column, e.Message, e.Remedy)
 }
 
-// Remedies for whole classes of faults.
+// Remedies for classes of errors.
 const (
-	remedySyntax  = "correct the Starlark syntax at this place"
-	remedyName    = "use the vocabulary of docs/POLICIES.md: service, default, kind, share, current, session, lag, any"
-	remedySteps   = "shorten the program: it runs once and only states rules"
-	remedyShape   = "write values out, and use only calls, lists, comprehensions and conditions"
-	remedyGeneral = "see docs/POLICIES.md"
+	remedySyntax    = "correct the Starlark syntax at this place"
+	remedyName      = "use the vocabulary of docs/POLICIES.md: service, default, kind, share, current, session, lag, any"
+	remedySteps     = "shorten the program: it runs once and only defines rules"
+	remedyForbidden = "write values out, and use only calls, lists, comprehensions and conditions"
+	remedyOther     = "see docs/POLICIES.md"
 )
 
-// builder collects what the program states.
+// builder collects the rules of a program while it runs.
 type builder struct {
 	table      Table
 	hasDefault bool
 }
 
-// freshnessValue is the value of current(), session(), lag("...") and any().
+// freshnessValue is the Starlark value that current(), session(), lag("...") and any()
+// return.
 type freshnessValue struct {
 	freshness Freshness
 	lag       time.Duration
 }
 
-// The methods that make freshnessValue a Starlark value.
+// Methods of starlark.Value.
 func (f freshnessValue) String() string        { return f.freshness.String() + "()" }
 func (f freshnessValue) Type() string          { return "freshness" }
 func (f freshnessValue) Freeze()               {}
 func (f freshnessValue) Truth() starlark.Bool  { return true }
 func (f freshnessValue) Hash() (uint32, error) { return uint32(f.freshness), nil }
 
-// Compile runs a policy program and returns its table. The error is an *Error.
+// Compile runs a policy program and returns its table of rules. The error is an *Error.
 func Compile(file string, source []byte) (*Table, error) {
 	if len(source) > MaxSourceBytes {
 		return nil, &Error{File: file, Line: 1, Column: 1, Message: fmt.Sprintf("the program has %d bytes", len(source)), Remedy: fmt.Sprintf("keep it to %d bytes", MaxSourceBytes)}
 	}
-	if err := checkShape(file, source); err != nil {
+	if err := checkSyntax(file, source); err != nil {
 		return nil, err
 	}
-	build := &builder{table: Table{Default: DefaultRule(), Kinds: map[string]Rule{}, Shares: map[string]int{}}}
+	b := &builder{table: Table{Default: DefaultRule(), Kinds: map[string]Rule{}, Shares: map[string]int{}}}
 	thread := &starlark.Thread{Name: file, Print: func(*starlark.Thread, string) {}}
 	thread.SetMaxExecutionSteps(maxSteps)
 	options := &syntax.FileOptions{}
-	if _, err := starlark.ExecFileOptions(options, thread, file, source, build.vocabulary()); err != nil {
-		return nil, locate(file, err)
+	if _, err := starlark.ExecFileOptions(options, thread, file, source, b.builtins()); err != nil {
+		return nil, toError(file, err)
 	}
-	if build.table.Service == "" {
+	if b.table.Service == "" {
 		return nil, &Error{File: file, Line: 1, Column: 1, Message: "the policy names no service", Remedy: `begin with service("name")`}
 	}
-	return &build.table, nil
+	return &b.table, nil
 }
 
-// checkShape refuses syntax beyond what stating rules needs. With functions,
-// arithmetic, attributes and dictionaries left out, no single step of a program
-// can allocate or compute without limit, so that the step limit bounds them all.
-func checkShape(file string, source []byte) error {
+// checkSyntax rejects syntax that isn't needed to define rules. Without functions,
+// arithmetic, attributes and dictionaries, no single step can allocate memory or compute
+// without bound, so that the step limit bounds the whole program.
+func checkSyntax(file string, source []byte) error {
 	options := &syntax.FileOptions{}
 	parsed, err := options.Parse(file, source, 0)
 	if err != nil {
-		return locate(file, err)
+		return toError(file, err)
 	}
-	var found *Error
+	var violation *Error
 	syntax.Walk(parsed, func(node syntax.Node) bool {
-		if node == nil || found != nil {
+		if node == nil || violation != nil {
 			return false
 		}
 		if !allowedNode(node) {
 			start, _ := node.Span()
-			found = &Error{File: file, Line: start.Line, Column: start.Col, Message: "this form of Starlark is not allowed in a policy", Remedy: remedyShape}
+			violation = &Error{File: file, Line: start.Line, Column: start.Col, Message: "this Starlark syntax is not allowed in a policy", Remedy: remedyForbidden}
 		}
-		return found == nil
+		return violation == nil
 	})
-	if found != nil {
-		return found
+	if violation != nil {
+		return violation
 	}
 	return nil
 }
 
-// allowedNames are the predeclared names of Starlark that a policy may use.
+// allowedNames are the predeclared Starlark names that a policy may use, besides any,
+// which policies redefine.
 var allowedNames = map[string]bool{"True": true, "False": true, "None": true, "range": true}
 
 func allowedNode(node syntax.Node) bool {
@@ -132,14 +134,15 @@
 	}
 }
 
-// allowedOperators are the binary operators of conditions; EQ is the sign in name=value.
+// allowedOperators are the binary operators that conditions may use. EQ is the sign of
+// keyword arguments.
 var allowedOperators = map[syntax.Token]bool{
 	syntax.EQ: true, syntax.EQL: true, syntax.NEQ: true, syntax.LT: true, syntax.GT: true,
 	syntax.LE: true, syntax.GE: true, syntax.AND: true, syntax.OR: true, syntax.IN: true,
 }
 
-// locate turns an error of the Starlark library into an *Error with its place.
-func locate(file string, err error) error {
+// toError converts an error of the Starlark library to an *Error with its position.
+func toError(file string, err error) error {
 	var syntaxError syntax.Error
 	if errors.As(err, &syntaxError) {
 		return &Error{File: file, Line: syntaxError.Pos.Line, Column: syntaxError.Pos.Col, Message: syntaxError.Msg, Remedy: remedySyntax}
@@ -151,51 +154,51 @@
 	}
 	var evalError *starlark.EvalError
 	if errors.As(err, &evalError) {
-		return locateEval(file, evalError)
+		return evalToError(file, evalError)
 	}
-	return &Error{File: file, Line: 1, Column: 1, Message: err.Error(), Remedy: remedyGeneral}
+	return &Error{File: file, Line: 1, Column: 1, Message: err.Error(), Remedy: remedyOther}
 }
 
-func locateEval(file string, evalError *starlark.EvalError) error {
-	located := &Error{File: file, Line: 1, Column: 1, Message: evalError.Msg, Remedy: remedyGeneral}
+func evalToError(file string, evalError *starlark.EvalError) error {
+	result := &Error{File: file, Line: 1, Column: 1, Message: evalError.Msg, Remedy: remedyOther}
 	for _, frame := range evalError.CallStack {
 		if frame.Pos.Line > 0 {
-			located.Line, located.Column = frame.Pos.Line, frame.Pos.Col
+			result.Line, result.Column = frame.Pos.Line, frame.Pos.Col
 		}
 	}
-	var remedy *remedyError
-	if errors.As(evalError, &remedy) {
-		located.Remedy = remedy.remedy
+	var argumentErr *argumentError
+	if errors.As(evalError, &argumentErr) {
+		result.Remedy = argumentErr.remedy
 	}
 	if evalError.Msg == "Starlark computation cancelled: too many steps" {
-		located.Remedy = remedySteps
+		result.Remedy = remedySteps
 	}
-	return located
+	return result
 }
 
-// remedyError is a fault found by the vocabulary itself.
-type remedyError struct{ message, remedy string }
+// argumentError is an error that the builtin functions find in their arguments.
+type argumentError struct{ message, remedy string }
 
 // Error implements the error interface.
-func (e *remedyError) Error() string { return e.message }
+func (e *argumentError) Error() string { return e.message }
 
-func (b *builder) vocabulary() starlark.StringDict {
-	dictionary := starlark.StringDict{
-		"current": starlark.NewBuiltin("current", simpleFreshness(Current)),
-		"session": starlark.NewBuiltin("session", simpleFreshness(Session)),
-		"any":     starlark.NewBuiltin("any", simpleFreshness(Any)),
+func (b *builder) builtins() starlark.StringDict {
+	functions := starlark.StringDict{
+		"current": starlark.NewBuiltin("current", freshnessFunction(Current)),
+		"session": starlark.NewBuiltin("session", freshnessFunction(Session)),
+		"any":     starlark.NewBuiltin("any", freshnessFunction(Any)),
 		"lag":     starlark.NewBuiltin("lag", lag),
 		"service": starlark.NewBuiltin("service", b.service),
 		"default": starlark.NewBuiltin("default", b.defaultRule),
 		"kind":    starlark.NewBuiltin("kind", b.kind),
 		"share":   starlark.NewBuiltin("share", b.share),
 	}
-	return dictionary
+	return functions
 }
 
 type builtinFunction = func(*starlark.Thread, *starlark.Builtin, starlark.Tuple, []starlark.Tuple) (starlark.Value, error)
 
-func simpleFreshness(freshness Freshness) builtinFunction {
+func freshnessFunction(freshness Freshness) builtinFunction {
 	return func(_ *starlark.Thread, fn *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
 		return freshnessValue{freshness: freshness}, starlark.UnpackArgs(fn.Name(), args, kwargs)
 	}
@@ -206,20 +209,20 @@
 	if err := starlark.UnpackArgs(fn.Name(), args, kwargs, "bound", &text); err != nil {
 		return nil, err
 	}
-	bound, err := duration("lag", text)
+	bound, err := parseDuration("lag", text)
 	if err != nil {
 		return nil, err
 	}
 	if bound <= 0 {
-		return nil, &remedyError{"lag needs a bound above zero", `use current() for no lag, or lag("2s")`}
+		return nil, &argumentError{"lag needs a bound above zero", `use current() for no lag, or lag("2s")`}
 	}
 	return freshnessValue{freshness: Bounded, lag: bound}, nil
 }
 
-func duration(name, text string) (time.Duration, error) {
+func parseDuration(name, text string) (time.Duration, error) {
 	value, err := time.ParseDuration(text)
-	if err != nil || value < 0 || value > maxWait {
-		return 0, &remedyError{fmt.Sprintf("%s: %q is not a duration from 0 to %s", name, text, maxWait), `write it as "250ms" or "2s"`}
+	if err != nil || value < 0 || value > maxDuration {
+		return 0, &argumentError{fmt.Sprintf("%s: %q is not a duration from 0 to %s", name, text, maxDuration), `write it as "250ms" or "2s"`}
 	}
 	return value, nil
 }
@@ -230,7 +233,7 @@
 		return nil, err
 	}
 	if name == "" || b.table.Service != "" {
-		return nil, &remedyError{"a policy names exactly one service", "keep one service() call with a name"}
+		return nil, &argumentError{"a policy names exactly one service", "keep one service() call with a name"}
 	}
 	b.table.Service = name
 	return starlark.None, nil
@@ -238,7 +241,7 @@
 
 func (b *builder) defaultRule(_ *starlark.Thread, fn *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
 	if b.hasDefault || len(b.table.Kinds) > 0 {
-		return nil, &remedyError{"default() must come once and before every kind()", "move it to the top"}
+		return nil, &argumentError{"default() must come once and before every kind()", "move it to the top"}
 	}
 	rule, err := unpackRule(fn.Name(), args, kwargs, DefaultRule())
 	if err != nil {
@@ -251,17 +254,17 @@
 
 func (b *builder) kind(_ *starlark.Thread, fn *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
 	if len(args) != 1 {
-		return nil, &remedyError{"kind() needs the name of the kind first", `write kind("seat_booking", ...)`}
+		return nil, &argumentError{"kind() needs the name of the kind first", `write kind("seat_booking", ...)`}
 	}
 	name, ok := starlark.AsString(args[0])
 	if !ok || name == "" {
-		return nil, &remedyError{"kind() needs the name of the kind first", `write kind("seat_booking", ...)`}
+		return nil, &argumentError{"kind() needs the name of the kind first", `write kind("seat_booking", ...)`}
 	}
-	if _, twice := b.table.Kinds[name]; twice {
-		return nil, &remedyError{fmt.Sprintf("kind %q is stated twice", name), "keep one of the two"}
+	if _, duplicate := b.table.Kinds[name]; duplicate {
+		return nil, &argumentError{fmt.Sprintf("kind %q is defined twice", name), "keep one of the two"}
 	}
 	if len(b.table.Kinds) >= maxKinds {
-		return nil, &remedyError{"too many kinds", fmt.Sprintf("keep to %d", maxKinds)}
+		return nil, &argumentError{"too many kinds", fmt.Sprintf("keep to %d", maxKinds)}
 	}
 	rule, err := unpackRule(fn.Name(), nil, kwargs, b.table.Default)
 	if err != nil {
@@ -278,13 +281,13 @@
 		return nil, err
 	}
 	if weight < 1 || weight > 1000 || len(b.table.Shares) >= maxShares {
-		return nil, &remedyError{fmt.Sprintf("share(%q) has weight %d", name, weight), "use whole weights from 1 to 1000, for at most 1000 callers"}
+		return nil, &argumentError{fmt.Sprintf("share(%q) has weight %d", name, weight), "use whole weights from 1 to 1000, for at most 1000 callers"}
 	}
 	b.table.Shares[name] = weight
 	return starlark.None, nil
 }
 
-// unpackRule reads the rule arguments; what is not named keeps the base's value.
+// unpackRule returns base with the values of the given rule arguments.
 func unpackRule(name string, args starlark.Tuple, kwargs []starlark.Tuple, base Rule) (Rule, error) {
 	var read starlark.Value
 	var wait, replicaWait, retryAfter string
@@ -297,29 +300,29 @@
 		return rule, err
 	}
 	if read != nil {
-		fresh, ok := read.(freshnessValue)
+		level, ok := read.(freshnessValue)
 		if !ok {
-			return rule, &remedyError{fmt.Sprintf("read: a %s is not a freshness", read.Type()), `use current(), session(), lag("2s") or any()`}
+			return rule, &argumentError{fmt.Sprintf("read: a %s is not a freshness", read.Type()), `use current(), session(), lag("2s") or any()`}
 		}
-		rule.Freshness, rule.MaxLag = fresh.freshness, fresh.lag
+		rule.Freshness, rule.MaxLag = level.freshness, level.lag
 	}
 	durations := []struct {
 		name   string
 		text   string
 		target *time.Duration
 	}{{"wait", wait, &rule.Wait}, {"replica_wait", replicaWait, &rule.ReplicaWait}, {"retry_after", retryAfter, &rule.RetryAfter}}
-	for _, current := range durations {
-		if current.text == "" {
+	for _, argument := range durations {
+		if argument.text == "" {
 			continue
 		}
-		value, err := duration(current.name, current.text)
+		value, err := parseDuration(argument.name, argument.text)
 		if err != nil {
 			return rule, err
 		}
-		*current.target = value
+		*argument.target = value
 	}
 	if rule.Refuse && rule.RetryAfter == 0 {
-		return rule, &remedyError{"a refused kind tells callers no time to come back", `add retry_after="10m"`}
+		return rule, &argumentError{"refuse = True requires retry_after", `add retry_after="10m"`}
 	}
 	return rule, nil
 }
--- a/internal/postgres/policy/table.go
+++ b/internal/postgres/policy/table.go
@@ -1,8 +1,8 @@
-// Package policy compiles operators' policy programs into rule tables.
+// Package policy compiles operators' policy programs to tables of rules.
 //
-// A policy is a short Starlark program. It runs once, when it is submitted,
-// under step and size limits, and builds a table of rules; nothing that an
-// operator wrote runs on the path of a request (docs/POLICIES.md).
+// A policy is a short Starlark program (docs/POLICIES.md). It runs once, when it is
+// submitted, with limits on its steps and size, and defines a table of rules. No operator
+// code runs while requests are served.
 package policy
 
 import (
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Freshness is how recent the data that a read sees must be.
+// Freshness is a level of how recent the data of a read must be.
 type Freshness uint8
 
 // The levels of freshness, from the strictest.
@@ -20,37 +20,37 @@
 	Current Freshness = iota
 	// Session: every write acknowledged in the same session before the read.
 	Session
-	// Bounded: every write acknowledged longer ago than the rule's lag.
+	// Bounded: every write acknowledged longer ago than the rule's MaxLag.
 	Bounded
-	// Any: whatever a fit server has.
+	// Any: the data of any fit server.
 	Any
 )
 
-// String returns the name that policies use.
+// String returns the level's name in policies.
 func (f Freshness) String() string {
 	return [...]string{"current", "session", "lag", "any"}[f]
 }
 
-// Rule says how one kind of request is served.
+// Rule defines how one kind of request is served.
 type Rule struct {
 	Freshness Freshness     `msgpack:"f"`
 	MaxLag    time.Duration `msgpack:"l"`
-	// Wait is the longest time a request may wait before it is refused.
+	// Wait is the maximum time that a request waits before it is rejected.
 	Wait time.Duration `msgpack:"w"`
 	// ReplicaWait is how long a read waits for a replica before the primary may serve it.
 	ReplicaWait time.Duration `msgpack:"rw"`
-	// Refuse makes every request of the kind refused.
+	// Refuse rejects every request of the kind.
 	Refuse bool `msgpack:"x"`
-	// RetryAfter is what a refused caller is told.
+	// RetryAfter is the retry delay for callers whose requests are rejected by Refuse.
 	RetryAfter time.Duration `msgpack:"ra"`
-	// Repeatable allows a write to be sent again when it surely was not run.
-	// All requests are retried only when not run; the mark is kept for checkers.
+	// Repeatable allows a write to be sent again if it certainly wasn't run. It has no
+	// effect on retries, which require that for every write; it is kept for checkers.
 	Repeatable bool `msgpack:"rp"`
 	// Write sends the kind to the primary even if its statements look like reads.
 	Write bool `msgpack:"wr"`
 }
 
-// String describes the rule for diffs and reviews.
+// String describes the rule in diffs and reviews.
 func (r Rule) String() string {
 	if r.Refuse {
 		return fmt.Sprintf("refuse, retry after %s", r.RetryAfter)
@@ -74,27 +74,27 @@
 	Service string          `msgpack:"s"`
 	Default Rule            `msgpack:"d"`
 	Kinds   map[string]Rule `msgpack:"k"`
-	// Shares maps a caller (user name) to its weight; others have weight 1.
+	// Shares maps a caller (user name) to its weight. Other callers have weight 1.
 	Shares map[string]int `msgpack:"h"`
 }
 
-// Limits used when a policy says nothing: strict freshness, short waits.
+// Defaults for policies that don't set a wait or replica wait.
 const (
 	defaultWait        = 2 * time.Second
 	defaultReplicaWait = 100 * time.Millisecond
 )
 
-// DefaultRule is the rule of services without a policy.
+// DefaultRule returns the rule of services without a policy.
 func DefaultRule() Rule {
 	return Rule{Freshness: Current, Wait: defaultWait, ReplicaWait: defaultReplicaWait}
 }
 
-// DefaultTable is the table of a service without a policy.
+// DefaultTable returns the table of a service without a policy.
 func DefaultTable(service string) *Table {
 	return &Table{Service: service, Default: DefaultRule()}
 }
 
-// Rule returns the rule for a kind.
+// Rule returns the rule for a kind, or the default rule.
 func (t *Table) Rule(kind string) Rule {
 	if rule, ok := t.Kinds[kind]; ok {
 		return rule
@@ -102,7 +102,7 @@
 	return t.Default
 }
 
-// Weight returns a caller's share weight.
+// Weight returns a caller's weight.
 func (t *Table) Weight(caller string) int {
 	if weight, ok := t.Shares[caller]; ok {
 		return weight
@@ -110,7 +110,7 @@
 	return 1
 }
 
-// Diff lists what changes from one table to another, a line a change.
+// Diff describes the changes from one table to another, one line for each.
 func Diff(before, after *Table) []string {
 	var lines []string
 	if before.Default != after.Default {
@@ -136,7 +136,7 @@
 		names = append(names, name)
 	}
 	for name := range second {
-		if _, both := first[name]; !both {
+		if _, duplicate := first[name]; !duplicate {
 			names = append(names, name)
 		}
 	}
