--- a/internal/postgres/replication/group.go
+++ b/internal/postgres/replication/group.go
@@ -1,11 +1,10 @@
-// Package replication models a replicated database group: terms, logs,
-// elections and the faults that the brief names ("What fails").
+// Package replication models a replicated database group with terms, logs, elections and
+// faults of its servers.
 //
-// The model is pure: it has no clock, I/O or goroutine. The stand-in database
-// drives it in real time and the simulator in virtual time, so both meet the
-// same group behaviour. Elections follow the rule that dewknot relies on: a new
-// primary needs the votes of a majority, every voter adopts the new term, and
-// the voter with the most advanced log wins.
+// The model uses no clock, I/O or goroutines. The stand-in database runs it in real time
+// and the simulator in virtual time, so that both show the same behavior. Elections
+// follow the rule that dewknot depends on: a new primary needs the votes of a majority,
+// every voter adopts the new term, and the voter with the most advanced log wins.
 package replication
 
 import (
@@ -14,7 +13,7 @@
 	"dewknot/internal/base/position"
 )
 
-// Role is what a server believes itself to be.
+// Role is a server's role according to itself.
 type Role uint8
 
 // The roles of a server.
@@ -34,29 +33,31 @@
 // Entry is one committed transaction in a log.
 type Entry[P any] struct {
 	Position position.Position
-	// TermStart marks the entry that a new primary writes first; it has no payload.
+	// TermStart marks the first entry of a new primary, which has no payload.
 	TermStart  bool
 	Payload    P
 	appendedAt time.Duration
 }
 
-// Report is what a server answers to a status question.
+// Report is a server's answer to a status query.
 type Report struct {
 	Role Role
-	// Term is the highest term the server has voted in or heard of.
+	// Term is the highest term that the server has voted in or learned of.
 	Term uint64
-	// Received is the last entry in the server's log.
+	// Received is the position of the last entry in the server's log.
 	Received position.Position
-	// Applied is the last entry visible to reads on the server.
+	// Applied is the position of the last entry that reads on the server can see.
 	Applied position.Position
 }
 
-// Change is an effect of Advance that the owner of the state machines carries out.
+// Change is an effect of Advance or Switchover, which the caller applies to the server's
+// data.
 type Change[P any] struct {
 	Server int
-	// Rebuild tells to discard the server's state and apply its log from the start.
+	// Rebuild discards the server's data. The changes that follow apply its log again from
+	// the start.
 	Rebuild bool
-	// Demoted tells that the server stopped being primary: its sessions end.
+	// Demoted reports that the server is no longer primary, which ends its sessions.
 	Demoted bool
 	// Apply is the entry to apply; nil with Rebuild or Demoted.
 	Apply *Entry[P]
@@ -65,9 +66,9 @@
 // Settings hold the delays of a group.
 type Settings struct {
 	Servers int
-	// ElectionDelay is the time from losing the primary to having a new one.
+	// ElectionDelay is the time from the loss of the primary to the election of a new one.
 	ElectionDelay time.Duration
-	// ReceiveDelay is the time an entry takes to reach a replica's log.
+	// ReceiveDelay is the time until an entry reaches a replica's log.
 	ReceiveDelay time.Duration
 }
 
@@ -76,19 +77,20 @@
 	term     uint64
 	log      []Entry[P]
 	applied  int
-	cut      bool
+	isolated bool
 	down     bool
 	applyLag time.Duration
-	// copiedTerm is the primary's term in which the log was last compared with the primary's.
-	copiedTerm uint64
+	// comparedTerm is the term of the primary whose log was last compared with this one.
+	comparedTerm uint64
 }
 
-// Group is the state of all servers of one database group.
+// Group is the state of all servers of one database group. It isn't safe for concurrent
+// use.
 type Group[P any] struct {
-	settings  Settings
-	servers   []*server[P]
-	lostSince time.Duration
-	lost      bool
+	settings         Settings
+	servers          []*server[P]
+	primaryLostSince time.Duration
+	primaryLost      bool
 }
 
 // New returns a group whose server 0 is primary in term 1.
@@ -97,11 +99,11 @@
 	for range settings.Servers {
 		group.servers = append(group.servers, &server[P]{term: 1})
 	}
-	group.crown(0, 0)
+	group.makePrimary(0, 0)
 	return group
 }
 
-func (g *Group[P]) crown(index int, now time.Duration) {
+func (g *Group[P]) makePrimary(index int, now time.Duration) {
 	leader := g.servers[index]
 	leader.role = Primary
 	g.append(leader, Entry[P]{TermStart: true}, now)
@@ -115,8 +117,8 @@
 	return entry.Position
 }
 
-// Append commits a transaction on a server that believes itself primary; ok is
-// false when it does not. A cut-off primary accepts work like any other.
+// Append commits a transaction on a server. If the server is stopped or isn't primary
+// according to itself, ok is false. An isolated primary accepts transactions.
 func (g *Group[P]) Append(index int, payload P, now time.Duration) (at position.Position, ok bool) {
 	target := g.servers[index]
 	if target.role != Primary || target.down {
@@ -125,7 +127,7 @@
 	return g.append(target, Entry[P]{Payload: payload}, now), true
 }
 
-// Report returns a server's status.
+// Report returns a server's status report.
 func (g *Group[P]) Report(index int) Report {
 	target := g.servers[index]
 	report := Report{Role: target.role, Term: target.term}
@@ -143,22 +145,22 @@
 	return append([]Entry[P](nil), g.servers[index].log...)
 }
 
-// Applied returns how many entries of its log a server has applied.
+// Applied returns the number of log entries that a server has applied.
 func (g *Group[P]) Applied(index int) int { return g.servers[index].applied }
 
-// SetCut separates a server from the rest of its group, or joins it again.
-func (g *Group[P]) SetCut(index int, cut bool) { g.servers[index].cut = cut }
+// SetCut isolates a server from the rest of its group, or reconnects it.
+func (g *Group[P]) SetCut(index int, isolated bool) { g.servers[index].isolated = isolated }
 
-// SetDown stops a server, or starts it again with its log kept.
+// SetDown stops a server, or restarts it with its log.
 func (g *Group[P]) SetDown(index int, down bool) { g.servers[index].down = down }
 
 // Down reports whether a server is stopped.
 func (g *Group[P]) Down(index int) bool { return g.servers[index].down }
 
-// SetApplyLag makes a replica apply entries that much after receiving them.
+// SetApplyLag delays the application of received entries on a replica.
 func (g *Group[P]) SetApplyLag(index int, lag time.Duration) { g.servers[index].applyLag = lag }
 
-// Leader returns the primary of the highest term, or -1.
+// Leader returns the index of the primary of the highest term, or -1.
 func (g *Group[P]) Leader() int {
 	leader := -1
 	for index, candidate := range g.servers {
@@ -169,8 +171,9 @@
 	return leader
 }
 
-// Switchover moves the primary role as an operator would: the target catches
-// up first, so nothing is lost. It reports false when that is impossible.
+// Switchover moves the primary role to a server that first receives and applies the
+// primary's complete log, so that no entry is lost. It returns false if either server
+// isn't connected, there is no primary, or the target is the primary already.
 func (g *Group[P]) Switchover(target int, now time.Duration) ([]Change[P], bool) {
 	leader := g.Leader()
 	if leader < 0 || leader == target || !g.connected(leader) || !g.connected(target) {
@@ -181,25 +184,25 @@
 	return append(changes, g.elect(target, now)...), true
 }
 
-// Advance carries the group forward to a time and returns what changed.
+// Advance moves the group's time forward and returns the changes.
 func (g *Group[P]) Advance(now time.Duration) []Change[P] {
 	changes := g.adoptTerms()
-	changes = append(changes, g.electIfLost(now)...)
+	changes = append(changes, g.electIfPrimaryLost(now)...)
 	leader := g.Leader()
 	for index := range g.servers {
 		if leader >= 0 && index != leader && g.connected(index) && g.connected(leader) {
 			changes = append(changes, g.receive(index, leader, now)...)
 		}
-		changes = append(changes, g.apply(index, now)...)
+		changes = append(changes, g.applyDue(index, now)...)
 	}
 	return changes
 }
 
 func (g *Group[P]) connected(index int) bool {
-	return !g.servers[index].cut && !g.servers[index].down
+	return !g.servers[index].isolated && !g.servers[index].down
 }
 
-// adoptTerms tells connected servers the highest term among them.
+// adoptTerms sets the term of all connected servers to the highest among them.
 func (g *Group[P]) adoptTerms() []Change[P] {
 	highest := uint64(0)
 	for index, candidate := range g.servers {
@@ -226,28 +229,28 @@
 	return []Change[P]{{Server: index, Demoted: true}}
 }
 
-func (g *Group[P]) electIfLost(now time.Duration) []Change[P] {
+func (g *Group[P]) electIfPrimaryLost(now time.Duration) []Change[P] {
 	leader := g.Leader()
 	if leader >= 0 && g.connected(leader) {
-		g.lost = false
+		g.primaryLost = false
 		return nil
 	}
-	if !g.lost {
-		g.lost = true
-		g.lostSince = now
+	if !g.primaryLost {
+		g.primaryLost = true
+		g.primaryLostSince = now
 	}
-	if now-g.lostSince < g.settings.ElectionDelay {
+	if now-g.primaryLostSince < g.settings.ElectionDelay {
 		return nil
 	}
-	winner, votes := g.mostAdvanced()
+	winner, votes := g.selectWinner()
 	if votes <= len(g.servers)/2 {
 		return nil
 	}
-	g.lost = false
+	g.primaryLost = false
 	return g.elect(winner, now)
 }
 
-func (g *Group[P]) mostAdvanced() (winner, votes int) {
+func (g *Group[P]) selectWinner() (winner, votes int) {
 	winner = -1
 	for index := range g.servers {
 		if !g.connected(index) {
@@ -261,8 +264,8 @@
 	return winner, votes
 }
 
-// elect gives every connected server a new term and makes the winner primary.
-// The winner applies its whole log before its first entry.
+// elect starts a new term on every connected server and makes the winner primary. The
+// winner applies its complete log before it appends its first entry.
 func (g *Group[P]) elect(winner int, now time.Duration) []Change[P] {
 	highest := uint64(0)
 	for _, candidate := range g.servers {
@@ -276,17 +279,18 @@
 		}
 	}
 	changes = append(changes, g.applyAll(winner)...)
-	g.crown(winner, now)
+	g.makePrimary(winner, now)
 	return changes
 }
 
-// receive copies entries from the leader, after cutting off a divergent tail.
+// receive copies entries from the leader. Once in each of the leader's terms, it first
+// removes the log's divergent tail.
 func (g *Group[P]) receive(index, leader int, now time.Duration) []Change[P] {
 	target, source := g.servers[index], g.servers[leader]
 	var changes []Change[P]
-	if target.copiedTerm != source.term {
-		changes = g.truncate(index, leader)
-		target.copiedTerm = source.term
+	if target.comparedTerm != source.term {
+		changes = g.removeDivergentTail(index, leader)
+		target.comparedTerm = source.term
 	}
 	for len(target.log) < len(source.log) {
 		entry := source.log[len(target.log)]
@@ -298,7 +302,7 @@
 	return changes
 }
 
-func (g *Group[P]) truncate(index, leader int) []Change[P] {
+func (g *Group[P]) removeDivergentTail(index, leader int) []Change[P] {
 	target, source := g.servers[index], g.servers[leader]
 	keep := min(len(target.log), len(source.log))
 	for keep > 0 && target.log[keep-1].Position != source.log[keep-1].Position {
@@ -316,7 +320,7 @@
 	return changes
 }
 
-func (g *Group[P]) apply(index int, now time.Duration) []Change[P] {
+func (g *Group[P]) applyDue(index int, now time.Duration) []Change[P] {
 	target := g.servers[index]
 	if target.down {
 		return nil
--- a/internal/postgres/replication/group_test.go
+++ b/internal/postgres/replication/group_test.go
@@ -9,8 +9,8 @@
 	_ "dewknot/internal/base/propertytest" // fixes the seed
 )
 
-// An entry that a majority has received in the primary's term is in the log of
-// every later primary. dewknot's acknowledgements rest on this rule.
+// Guards against elections that lose entries which a majority has received in the
+// primary's term. The safety of acknowledgements depends on this.
 func TestMajorityReceivedEntriesSurvive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		group := New[int](Settings{Servers: 3, ElectionDelay: 20 * time.Millisecond, ReceiveDelay: 2 * time.Millisecond})
@@ -28,13 +28,13 @@
 				group.Append(server, step, now)
 			}
 			group.Advance(now)
-			durable = append(durable, majorityReceived(group)...)
-			requireAll(t, group, durable)
+			durable = append(durable, entriesOnMajority(group)...)
+			requireEntries(t, group, durable)
 		}
 	})
 }
 
-func majorityReceived(group *Group[int]) []Entry[int] {
+func entriesOnMajority(group *Group[int]) []Entry[int] {
 	leader := group.Leader()
 	if leader < 0 {
 		return nil
@@ -56,12 +56,12 @@
 	return entries
 }
 
-func requireAll(t *rapid.T, group *Group[int], durable []Entry[int]) {
+func requireEntries(t *rapid.T, group *Group[int], durable []Entry[int]) {
 	log := group.Log(group.Leader())
 	for _, entry := range durable {
 		index := int(entry.Position.Offset) - 1
 		if index >= len(log) || log[index].Position != entry.Position {
-			t.Fatalf("entry %v was received by a majority and is lost", entry.Position)
+			t.Fatalf("entry %v was received by a majority but is lost", entry.Position)
 		}
 	}
 }
