--- a/internal/postgres/group/machine.go
+++ b/internal/postgres/group/machine.go
@@ -178,7 +178,7 @@
 
 func (m *Machine) arrive(request Request) {
 	session := request.ID.Session
-	// Numbers of a session only grow, so this is a duplicate; the first copy gets the answer.
+	// The numbers of a session increase, so this is a duplicate. The first copy is answered.
 	if request.ID.Number <= m.lastNumber[session] {
 		return
 	}
@@ -368,13 +368,13 @@
 	m.stopRunning(target, event.Result.TransactionOpen && event.Result.Outcome == Completed)
 	switch event.Result.Outcome {
 	case Completed:
-		m.completed(target, event.Result)
+		m.runCompleted(target, event.Result)
 	case NotStarted:
-		m.notStarted(target)
+		m.retryRun(target)
 	case MustWrite:
-		m.mustWrite(target)
+		m.moveToPrimary(target)
 	default:
-		m.lost(target, event.Result.Outcome)
+		m.runLost(target, event.Result.Outcome)
 	}
 }
 
@@ -412,8 +412,8 @@
 	m.primaryQueue.Release(transaction.caller, fairqueue.Resources{Connections: 1})
 }
 
-// serviceSmoothing is the reciprocal weight of a new value in the moving average of
-// service times: 1/16.
+// serviceSmoothing is the inverse of the weight of a new value in the moving average of
+// service times.
 const serviceSmoothing = 16
 
 func (m *Machine) recordServiceTime(elapsed time.Duration) {
@@ -421,7 +421,7 @@
 	m.serviceTime = max(m.serviceTime, time.Microsecond)
 }
 
-func (m *Machine) completed(target *pending, result RunResult) {
+func (m *Machine) runCompleted(target *pending, result RunResult) {
 	readsPrimary := target.needsConfirmation && !target.request.MayCommit && !result.Position.IsZero()
 	if (result.Wrote || readsPrimary) && !m.settings.Mutations.SkipConfirm {
 		m.awaitConfirmation(target, result.Position)
@@ -435,9 +435,9 @@
 	m.reply(target, reply)
 }
 
-// notStarted queues the request again, since nothing has run, or rejects it if it
-// can't be retried.
-func (m *Machine) notStarted(target *pending) {
+// retryRun queues a request again that is safe to run again, or rejects it if it is
+// canceled, late, in a transaction or out of attempts.
+func (m *Machine) retryRun(target *pending) {
 	switch {
 	case target.canceled:
 		m.reject(target, failure.Canceled)
@@ -451,8 +451,8 @@
 	}
 }
 
-// mustWrite moves a statement that a read-only server refused to the primary.
-func (m *Machine) mustWrite(target *pending) {
+// moveToPrimary moves a statement that a read-only server refused to the primary.
+func (m *Machine) moveToPrimary(target *pending) {
 	if target.pinned || target.primaryOnly {
 		m.reject(target, failure.TransactionLost)
 		return
@@ -460,12 +460,12 @@
 	target.request.ReadOnly = false
 	target.request.MayCommit = true
 	target.primaryOnly = true
-	m.notStarted(target)
+	m.retryRun(target)
 }
 
-// lost handles a connection that ended during a run. Only a read outside a transaction
+// runLost handles a connection that ended during a run. Only a read outside a transaction
 // is run again, and only if no part of its answer has been passed on.
-func (m *Machine) lost(target *pending, outcome RunOutcome) {
+func (m *Machine) runLost(target *pending, outcome RunOutcome) {
 	request := target.request
 	rerunnable := request.ReadOnly && outcome == Lost && !target.pinned
 	if m.settings.Mutations.RetryLostWrites && !target.pinned {
@@ -475,7 +475,7 @@
 	case m.settings.Mutations.LostIsNotRun:
 		m.reject(target, failure.NoServer)
 	case rerunnable && target.attempts < maxRunAttempts && m.now < target.deadline():
-		m.notStarted(target)
+		m.retryRun(target)
 	case request.MayCommit, request.ReadOnly:
 		m.reply(target, Reply{Kind: failure.OutcomeUnknown, Server: target.server})
 	default:
--- a/internal/postgres/group/machine_test.go
+++ b/internal/postgres/group/machine_test.go
@@ -173,12 +173,12 @@
 	}
 	must.Eq(t, failure.Overloaded, h.failureKind(last))
 	must.Positive(t, h.replies[last].RetryAfter)
-	refused := h.request(func(request *Request) { request.Rule.Refuse, request.Rule.RetryAfter = true, time.Hour })
-	must.Eq(t, failure.RefusedByPolicy, h.failureKind(refused))
-	must.Eq(t, time.Hour, h.replies[refused].RetryAfter)
+	rejected := h.request(func(request *Request) { request.Rule.Refuse, request.Rule.RetryAfter = true, time.Hour })
+	must.Eq(t, failure.RefusedByPolicy, h.failureKind(rejected))
+	must.Eq(t, time.Hour, h.replies[rejected].RetryAfter)
 }
 
-// Guards against writes that fail at once, or wait forever, while there is no primary.
+// Guards against writes that fail immediately, or wait forever, while there is no primary.
 func TestWritesWaitForPrimaryUntilDeadline(t *testing.T) {
 	h := newHarness(t, nil)
 	at := position.Position{Term: 1, Offset: 5}
