--- a/internal/postgres/core/control.go
+++ b/internal/postgres/core/control.go
@@ -285,10 +285,10 @@
 }
 
 func objectsSize(objects []objectapi.Object) int {
-	const objectOverhead = 24
+	const overheadBytes = 24
 	size := 0
 	for _, object := range objects {
-		size += len(object.Key) + len(object.Value) + objectOverhead
+		size += len(object.Key) + len(object.Value) + overheadBytes
 	}
 	return size
 }
