--- a/internal/postgres/listener/extended.go
+++ b/internal/postgres/listener/extended.go
@@ -12,8 +12,8 @@
 	"dewknot/internal/postgres/statement"
 )
 
-// preparedStatement is a statement that a caller has prepared. Its back-end name
-// derives from its text, so that any pooled connection can have it.
+// preparedStatement is a statement that a caller has prepared. Its name on back-end
+// connections is derived from its text, so that it is the same on all pooled connections.
 type preparedStatement struct {
 	definition backend.Statement
 	info       statement.Info
@@ -21,25 +21,25 @@
 
 // pendingBatch collects extended-protocol messages up to Sync or Flush.
 type pendingBatch struct {
-	messages   []byte
+	messages   []byte // encoded for the server
 	statements map[string]backend.Statement
 	info       statement.Info
-	any        bool
-	// problem is the first error found here; the rest up to Sync is skipped.
+	nonEmpty   bool // a message has been collected
+	// problem is the first error found by the listener; later messages up to Sync are skipped.
 	problem *failure.Error
-	// reported is set when the problem was sent before Sync, at a Flush.
+	// reported is set when the problem was already sent at a Flush.
 	reported bool
 	// parameter is set when the batch runs one SET or SHOW of a dewknot parameter.
 	parameter *statement.Parameter
-	// order lists the messages, for answers that are made here.
-	order []pgproto3.FrontendMessage
+	// outlines describes the messages in order, for answers that the listener makes itself.
+	outlines []pgproto3.FrontendMessage
 }
 
-func (b *pendingBatch) started() bool { return b.any }
+func (b *pendingBatch) started() bool { return b.nonEmpty }
 
 func (b *pendingBatch) reset() { *b = pendingBatch{} }
 
-// backendName derives a statement's name on back-end connections.
+// backendName returns the name of a statement on back-end connections.
 func backendName(query string, oids []uint32) string {
 	const nameBytes = 16
 	digest := sha256.New()
@@ -52,13 +52,16 @@
 
 // collect adds one message to the batch.
 func (s *session) collect(message pgproto3.FrontendMessage) {
-	if !s.batch.any {
-		s.batch = pendingBatch{any: true, statements: map[string]backend.Statement{}, info: statement.Info{ReadOnly: true, Empty: true}}
+	if !s.batch.nonEmpty {
+		s.batch = pendingBatch{
+			nonEmpty: true, statements: map[string]backend.Statement{},
+			info: statement.Info{ReadOnly: true, Empty: true},
+		}
 	}
 	if s.batch.problem != nil {
 		return
 	}
-	s.batch.order = append(s.batch.order, outline(message))
+	s.batch.outlines = append(s.batch.outlines, outline(message))
 	switch typed := message.(type) {
 	case *pgproto3.Parse:
 		s.collectParse(typed)
@@ -73,8 +76,8 @@
 	}
 }
 
-// outline keeps of a message what an answer made here depends on; the message
-// itself is overwritten by the next one received.
+// outline copies the parts of a message that the listener's own answers depend on. The
+// message itself is overwritten when the next one is received.
 func outline(message pgproto3.FrontendMessage) pgproto3.FrontendMessage {
 	switch typed := message.(type) {
 	case *pgproto3.Parse:
@@ -105,7 +108,7 @@
 		definition: backend.Statement{Name: backendName(message.Query, oids), Query: message.Query, OIDs: oids},
 		info:       statement.Classify(message.Query),
 	}
-	if problem := s.refusal(prepared.info); problem != nil {
+	if problem := s.checkSupported(prepared.info); problem != nil {
 		s.batch.problem = problem
 		return
 	}
@@ -117,8 +120,8 @@
 	s.append(&pgproto3.Parse{Name: prepared.definition.Name, Query: message.Query, ParameterOIDs: oids})
 }
 
-// known returns a prepared statement and makes the batch carry its definition.
-func (s *session) known(name string) (preparedStatement, bool) {
+// lookupStatement returns a prepared statement and adds its definition to the batch.
+func (s *session) lookupStatement(name string) (preparedStatement, bool) {
 	found, ok := s.statements[name]
 	if !ok {
 		s.batch.problem = failure.New(failure.Protocol, "prepared statement \""+name+"\" does not exist")
@@ -132,7 +135,7 @@
 }
 
 func (s *session) collectBind(message *pgproto3.Bind) {
-	found, ok := s.known(message.PreparedStatement)
+	found, ok := s.lookupStatement(message.PreparedStatement)
 	if !ok {
 		return
 	}
@@ -147,7 +150,7 @@
 		s.append(message)
 		return
 	}
-	if found, ok := s.known(message.Name); ok {
+	if found, ok := s.lookupStatement(message.Name); ok {
 		s.append(&pgproto3.Describe{ObjectType: 'S', Name: found.definition.Name})
 	}
 }
@@ -162,7 +165,7 @@
 	s.append(message)
 }
 
-// combine joins the classes of two statements of one batch.
+// combine merges the classification of two statements of one batch.
 func combine(first, second statement.Info) statement.Info {
 	joined := second
 	if !first.Empty {
@@ -186,7 +189,7 @@
 	s.append(message)
 }
 
-// batchWithinLimit refuses batches that grow without end.
+// batchWithinLimit ends the connection if the batch is larger than MaxMessageBytes.
 func (s *session) batchWithinLimit() bool {
 	if len(s.batch.messages) <= s.server.settings.MaxMessageBytes {
 		return true
@@ -194,8 +197,8 @@
 	return s.fatal(failure.New(failure.TooLarge, "messages before Sync"))
 }
 
-// sync ends a batch.
-func (s *session) sync() bool {
+// handleSync ends the batch and submits or answers it.
+func (s *session) handleSync() bool {
 	batch := s.batch
 	s.batch.reset()
 	if s.status == backend.Idle {
@@ -208,9 +211,9 @@
 		return s.answerFailure(batch.problem)
 	case batch.parameter != nil:
 		return s.serveExtendedParameter(batch)
-	case s.failedHere && batch.any:
+	case s.transactionLost && batch.nonEmpty:
 		return s.syncInFailedTransaction(batch)
-	case !batch.any && !s.unsynced:
+	case !batch.nonEmpty && !s.unsynced:
 		return s.ready()
 	}
 	return s.submitBatch(batch, &pgproto3.Sync{})
@@ -221,16 +224,18 @@
 	if !ends {
 		return s.answerInFailedTransaction(batch.info)
 	}
-	s.failedHere = false
+	s.transactionLost = false
 	s.status = backend.Idle
-	return s.answerHere(batch.order, &pgproto3.NoData{}, []pgproto3.BackendMessage{
+	return s.answerLocally(batch.outlines, &pgproto3.NoData{}, []pgproto3.BackendMessage{
 		&pgproto3.CommandComplete{CommandTag: []byte("ROLLBACK")},
 	})
 }
 
-// answerHere answers for each message of a batch as the server would have done.
-func (s *session) answerHere(order []pgproto3.FrontendMessage, description pgproto3.BackendMessage, execution []pgproto3.BackendMessage) bool {
-	for _, message := range order {
+// answerLocally answers each message of a batch as a server would.
+func (s *session) answerLocally(
+	outlines []pgproto3.FrontendMessage, description pgproto3.BackendMessage, execution []pgproto3.BackendMessage,
+) bool {
+	for _, message := range outlines {
 		switch typed := message.(type) {
 		case *pgproto3.Parse:
 			s.protocol.Send(&pgproto3.ParseComplete{})
@@ -252,20 +257,20 @@
 	return s.ready()
 }
 
-// flush sends what has been collected; the owner keeps the connection until Sync.
-func (s *session) flush() bool {
+// handleFlush submits the collected messages. The owner keeps the back-end connection until Sync.
+func (s *session) handleFlush() bool {
 	batch := s.batch
 	if batch.problem != nil && !batch.reported {
 		return s.reportProblem()
 	}
-	if !batch.any || batch.problem != nil || batch.parameter != nil || s.failedHere {
+	if !batch.nonEmpty || batch.problem != nil || batch.parameter != nil || s.transactionLost {
 		return true
 	}
 	s.batch.reset()
 	return s.submitBatch(batch, &pgproto3.Flush{})
 }
 
-// reportProblem sends the batch's error at once: the caller waits for it.
+// reportProblem sends the batch's error before Sync, because the caller waits for it after a Flush.
 func (s *session) reportProblem() bool {
 	s.batch.reported = true
 	s.failTransaction()
@@ -283,7 +288,7 @@
 		out.Statements = append(out.Statements, definition)
 	}
 	info := batch.info
-	if !batch.any {
+	if !batch.nonEmpty {
 		info.ReadOnly = true
 	}
 	_, synced := end.(*pgproto3.Sync)
@@ -296,12 +301,12 @@
 	if problem != nil {
 		return s.answerFailure(problem)
 	}
-	return s.answerHere(batch.order, description, execution)
+	return s.answerLocally(batch.outlines, description, execution)
 }
 
-// executes reports whether the batch runs something rather than only preparing it.
+// executes reports whether the batch has an Execute message.
 func (b *pendingBatch) executes() bool {
-	for _, message := range b.order {
+	for _, message := range b.outlines {
 		if _, ok := message.(*pgproto3.Execute); ok {
 			return true
 		}
--- a/internal/postgres/listener/parameters.go
+++ b/internal/postgres/listener/parameters.go
@@ -13,10 +13,10 @@
 	"dewknot/internal/postgres/statement"
 )
 
-// parameterPrefix starts the names of parameters that the node handles itself.
+// parameterPrefix is the prefix of the parameters that the node handles itself.
 const parameterPrefix = "dewknot."
 
-// maxParameterBytes bounds a parameter's value.
+// maxParameterBytes is the maximum length of a parameter's value.
 const maxParameterBytes = 256
 
 func isClosed(err error) bool {
@@ -43,12 +43,11 @@
 	return nil
 }
 
-// setPosition takes the position that a caller brings from another connection.
-// From then on the caller carries its session's position: this connection's own
-// writes raise it.
+// setPosition sets the minimum position that reads must see, which the caller got on
+// another connection. Writes on this connection raise it from then on.
 func (s *session) setPosition(value string) *failure.Error {
 	if value == "" {
-		s.carries = false
+		s.carriesPosition = false
 		return nil
 	}
 	token, err := position.ParseToken(value)
@@ -58,8 +57,8 @@
 	if token.Group != s.group {
 		return failure.New(failure.BadParameter, "the position belongs to service "+token.Group)
 	}
-	s.carries = true
-	s.floor = position.Max(s.floor, token.Position)
+	s.carriesPosition = true
+	s.minPosition = position.Max(s.minPosition, token.Position)
 	return nil
 }
 
@@ -72,10 +71,10 @@
 	case "repeatable":
 		return s.repeatable, true
 	case "position":
-		if s.floor.IsZero() {
+		if s.minPosition.IsZero() {
 			return "", true
 		}
-		return position.Token{Group: s.group, Position: s.floor}.String(), true
+		return position.Token{Group: s.group, Position: s.minPosition}.String(), true
 	default:
 		return "", false
 	}
@@ -96,12 +95,14 @@
 	return s.ready()
 }
 
-// textOID is the type of parameter values (PostgreSQL's pg_type catalogue).
+// textOID is the OID of PostgreSQL's type text, the type of parameter values.
 const textOID = 25
 
-// parameterAnswer carries out a SET, if it is to be run, and returns the
-// description of the answer and the answer itself.
-func (s *session) parameterAnswer(parameter statement.Parameter, run bool) (pgproto3.BackendMessage, []pgproto3.BackendMessage, *failure.Error) {
+// parameterAnswer executes a SET if run is true. It returns the answer to a
+// Describe message and the answer to the execution.
+func (s *session) parameterAnswer(
+	parameter statement.Parameter, run bool,
+) (pgproto3.BackendMessage, []pgproto3.BackendMessage, *failure.Error) {
 	if !parameter.Show {
 		if run {
 			if problem := s.setParameter(parameter.Name, parameter.Value); problem != nil {
--- a/internal/postgres/listener/server.go
+++ b/internal/postgres/listener/server.go
@@ -1,5 +1,5 @@
-// Package listener is the callers' edge: it accepts PostgreSQL connections,
-// follows each caller's session and has its requests served by the group's owner.
+// Package listener accepts PostgreSQL connections from callers, tracks the state of each
+// session and submits its requests to the owner of the database group.
 package listener
 
 import (
@@ -29,30 +29,30 @@
 	View() *core.View
 }
 
-// Settings are the limits of the edge.
+// Settings configure a Server.
 type Settings struct {
-	// Epoch is unique to this run of this process.
+	// Epoch identifies this incarnation of the process.
 	Epoch uint64
-	// MaxMessageBytes bounds one message from a caller.
+	// MaxMessageBytes is the maximum size of a message or batch from a caller.
 	MaxMessageBytes int
-	// MaxConnections bounds the callers connected at a time.
+	// MaxConnections is the maximum number of connected callers.
 	MaxConnections int
-	// StartupTimeout bounds connecting and authenticating.
+	// StartupTimeout is the timeout of the startup phase, authentication included.
 	StartupTimeout time.Duration
-	// Fresh reports whether the node may take new requests: its knowledge of
-	// policies is recent. A node that was paused or is cut off may not.
+	// Fresh reports whether the node's configuration is recent enough to accept new
+	// requests. It is not after a pause of the process or while the node is isolated.
 	Fresh func() bool
-	// Authenticate is false when callers are trusted, in demos and tests.
+	// Authenticate is false if callers need no password, as in demos and tests.
 	Authenticate bool
 }
 
-// Counters count what happened at the edge.
+// Counters count events of the listener, for metrics.
 type Counters struct {
 	Accepted, Refused, AuthenticationFailures atomic.Uint64
 	ProtocolViolations, Requests              atomic.Uint64
 }
 
-// Server accepts callers.
+// Server accepts and serves connections of callers.
 type Server struct {
 	settings Settings
 	router   Router
@@ -68,13 +68,15 @@
 	done     sync.WaitGroup
 }
 
-// Listen opens the address for callers. Serve must be called to accept them.
+// Listen listens on the address and begins to accept callers.
 func Listen(address string, settings Settings, router Router, log *zap.Logger) (*Server, error) {
 	socket, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, errors.Wrapf(err, "listen for callers on %s; name a free address", address)
 	}
-	server := &Server{settings: settings, router: router, log: log, socket: socket, sessions: map[uint64]*session{}}
+	server := &Server{
+		settings: settings, router: router, log: log, socket: socket, sessions: map[uint64]*session{},
+	}
 	server.done.Add(1)
 	go server.acceptLoop()
 	return server, nil
@@ -106,15 +108,15 @@
 		return
 	}
 	if !s.register(current) {
-		current.fatal(failure.Refuse(failure.Overloaded, overloadRetry))
+		current.fatal(failure.Refuse(failure.Overloaded, overloadRetryAfter))
 		return
 	}
 	defer s.unregister(current)
 	current.loop()
 }
 
-// overloadRetry is what a caller is told when the node has no room for it.
-const overloadRetry = time.Second
+// overloadRetryAfter is the retry delay suggested to callers that the node cannot serve now.
+const overloadRetryAfter = time.Second
 
 func (s *Server) register(current *session) bool {
 	s.mu.Lock()
@@ -131,7 +133,7 @@
 	s.mu.Lock()
 	delete(s.sessions, current.id.Session)
 	s.mu.Unlock()
-	current.end()
+	current.endAtOwners()
 }
 
 // Connected returns how many callers are connected.
@@ -148,7 +150,7 @@
 	return binary.BigEndian.Uint32(secret[:])
 }
 
-// cancel handles a CancelRequest. Session numbers serve as process identifiers.
+// cancel handles a CancelRequest. Its process ID is the session's number.
 func (s *Server) cancel(processID uint32, secret []byte) {
 	s.mu.Lock()
 	target := s.sessions[uint64(processID)]
@@ -158,29 +160,31 @@
 	}
 }
 
-// Drain stops accepting callers. Idle callers get a clean end at once, others as
-// soon as their transaction has ended; past the limit whatever remains is ended.
-func (s *Server) Drain(limit time.Duration) {
+// Drain stops accepting callers and waits until all are disconnected. Idle callers are
+// disconnected at once, others when their transaction ends. Connections that remain after
+// the timeout are closed.
+func (s *Server) Drain(timeout time.Duration) {
 	s.stopping.Store(true)
 	_ = s.socket.Close()
-	deadline := time.Now().Add(limit)
+	deadline := time.Now().Add(timeout)
 	for {
-		s.endIdle()
+		s.closeIdle()
 		if s.Connected() == 0 {
 			break
 		}
 		if time.Now().After(deadline) {
-			s.log.Warn("listener: drain limit reached, closing callers", zap.Int("callers", s.Connected()))
+			s.log.Warn("listener: drain timeout reached, closing the remaining connections",
+				zap.Int("callers", s.Connected()))
 			s.closeAll()
 			break
 		}
-		time.Sleep(drainPoll)
+		time.Sleep(drainPollInterval)
 	}
 	s.done.Wait()
 }
 
-// drainPoll is the time between looks for callers that have become idle.
-const drainPoll = 20 * time.Millisecond
+// drainPollInterval is the interval between checks for idle callers while draining.
+const drainPollInterval = 20 * time.Millisecond
 
 func (s *Server) snapshot() []*session {
 	s.mu.Lock()
@@ -192,9 +196,9 @@
 	return all
 }
 
-func (s *Server) endIdle() {
+func (s *Server) closeIdle() {
 	for _, current := range s.snapshot() {
-		current.endIfIdle()
+		current.closeIfIdle()
 	}
 }
 
@@ -204,7 +208,7 @@
 	}
 }
 
-// Close ends all callers at once.
+// Close disconnects all callers.
 func (s *Server) Close() {
 	s.stopping.Store(true)
 	_ = s.socket.Close()
--- a/internal/postgres/listener/session.go
+++ b/internal/postgres/listener/session.go
@@ -27,37 +27,37 @@
 	user     string
 	group    string
 
-	// What the caller has set; see docs/CALLERS.md.
-	name       string
-	kind       string
-	floor      position.Position
-	carries    bool // the caller carries its position itself
-	repeatable string
+	// Parameters set by the caller; see docs/CALLERS.md.
+	name            string // dewknot.session
+	kind            string
+	minPosition     position.Position // latest position of the session, see setPosition
+	carriesPosition bool              // the caller has set dewknot.position, so requests carry minPosition
+	repeatable      string
 
 	// status is the transaction state shown to the caller.
 	status byte
-	// failedHere is set when the transaction was lost: until ROLLBACK the
-	// listener itself answers.
-	failedHere bool
-	// owner is the node that holds the open transaction, "" if none is open.
+	// transactionLost is set when the transaction was lost. Until ROLLBACK or COMMIT the
+	// listener answers the caller itself.
+	transactionLost bool
+	// owner is the node with the open transaction, "" if none is open.
 	owner string
-	// visited holds every node that has served the session.
-	visited map[string]bool
-	number  uint64
+	// servedBy is the set of nodes that have served the session.
+	servedBy   map[string]bool
+	lastNumber uint64 // number of the last request
 	// unsynced is set between a Flush and the Sync that follows.
 	unsynced bool
-	// uncommitted is set when statements before a Flush will commit at Sync.
+	// uncommitted is set when statements before a Flush are committed by the next Sync.
 	uncommitted bool
 	statements  map[string]preparedStatement
 	portals     map[string]statement.Info
 	batch       pendingBatch
 
-	mu sync.Mutex // guards busy, current and ended, for cancel and drain
+	mu sync.Mutex // guards busy, current, currentOwner and ended, which cancel and drain use
 	// busy is true from the arrival of a message until its answer is sent.
-	busy    bool
-	current group.RequestID
-	asked   string // the node that current was sent to
-	ended   bool
+	busy         bool
+	current      group.RequestID
+	currentOwner string // the node with the transaction of current, "" if not pinned
+	ended        bool
 }
 
 func newSession(server *Server, conn net.Conn) *session {
@@ -66,17 +66,17 @@
 	return &session{
 		server: server, conn: conn, protocol: protocol, secret: newSecret(),
 		id:     group.SessionID{Listener: server.settings.Epoch, Session: server.nextSession.Add(1)},
-		status: backend.Idle, visited: map[string]bool{},
+		status: backend.Idle, servedBy: map[string]bool{},
 		statements: map[string]preparedStatement{}, portals: map[string]statement.Info{},
 	}
 }
 
-// loop serves messages until the caller leaves or breaks the protocol.
+// loop handles messages until the caller disconnects or violates the protocol.
 func (s *session) loop() {
 	for {
 		message, err := s.protocol.Receive()
 		if err != nil {
-			s.receiveFailed(err)
+			s.handleReceiveError(err)
 			return
 		}
 		if !s.setBusy(true) {
@@ -87,13 +87,13 @@
 			return
 		}
 		if s.server.stopping.Load() {
-			s.endIfIdle()
+			s.closeIfIdle()
 		}
 	}
 }
 
-// receiveFailed tells a caller that broke the protocol what is wrong.
-func (s *session) receiveFailed(err error) {
+// handleReceiveError reports protocol violations to the caller; network errors are ignored.
+func (s *session) handleReceiveError(err error) {
 	if _, ok := err.(*pgproto3.ExceededMaxBodyLenErr); ok {
 		s.server.Counters.ProtocolViolations.Add(1)
 		s.fatal(failure.New(failure.TooLarge, err.Error()))
@@ -106,8 +106,8 @@
 	s.fatal(failure.New(failure.Protocol, err.Error()))
 }
 
-// setBusy notes that work begins or ends; it reports false once the session has
-// been ended by a planned stop.
+// setBusy marks the beginning or end of a message's handling. It reports false if Drain
+// has ended the session.
 func (s *session) setBusy(busy bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -115,10 +115,9 @@
 	return !s.ended
 }
 
-// endIfIdle ends a session that has no work and no open transaction. The lock
-// keeps the decision and a message's arrival apart: a request that was received
-// is served.
-func (s *session) endIfIdle() {
+// closeIfIdle ends a session that has no work and no open transaction. Setting ended and
+// busy under the same lock ensures that a message received before the end is served.
+func (s *session) closeIfIdle() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.busy || s.ended || s.status != backend.Idle || s.unsynced || s.batch.started() {
@@ -129,15 +128,15 @@
 	_ = s.conn.Close()
 }
 
-// end releases what the session holds elsewhere.
-func (s *session) end() {
-	for owner := range s.visited {
+// endAtOwners ends the session at all nodes that have served it.
+func (s *session) endAtOwners() {
+	for owner := range s.servedBy {
 		s.server.router.EndSession(owner, s.group, s.id)
 	}
 }
 
-// fatal sends an error that ends the connection. It returns false for use as
-// the result of a step.
+// fatal sends an error that ends the connection. It always returns false, so that
+// message handlers can return its result.
 func (s *session) fatal(problem *failure.Error) bool {
 	s.protocol.Send(errorResponse(problem, "FATAL"))
 	_ = s.protocol.Flush()
@@ -154,14 +153,14 @@
 func (s *session) handle(message pgproto3.FrontendMessage) bool {
 	switch typed := message.(type) {
 	case *pgproto3.Query:
-		return s.query(typed)
+		return s.handleQuery(typed)
 	case *pgproto3.Parse, *pgproto3.Bind, *pgproto3.Describe, *pgproto3.Execute, *pgproto3.Close:
 		s.collect(message)
 		return s.batchWithinLimit()
 	case *pgproto3.Sync:
-		return s.sync()
+		return s.handleSync()
 	case *pgproto3.Flush:
-		return s.flush()
+		return s.handleFlush()
 	case *pgproto3.Terminate:
 		return false
 	default:
@@ -170,8 +169,8 @@
 	}
 }
 
-// query serves a simple query.
-func (s *session) query(message *pgproto3.Query) bool {
+// handleQuery serves a simple query.
+func (s *session) handleQuery(message *pgproto3.Query) bool {
 	if s.batch.started() {
 		return s.fatal(failure.New(failure.Protocol, "Query before Sync"))
 	}
@@ -179,10 +178,10 @@
 	if info.Parameter != nil {
 		return s.serveParameter(*info.Parameter)
 	}
-	if problem := s.refusal(info); problem != nil {
+	if problem := s.checkSupported(info); problem != nil {
 		return s.answerFailure(problem)
 	}
-	if s.failedHere {
+	if s.transactionLost {
 		return s.answerInFailedTransaction(info)
 	}
 	encoded, err := message.Encode(nil)
@@ -192,22 +191,22 @@
 	return s.submit(info, backend.Batch{Messages: encoded}, true)
 }
 
-// refusal returns why a statement cannot be carried, or nil.
-func (s *session) refusal(info statement.Info) *failure.Error {
+// checkSupported returns an error if pooled connections cannot support the statement.
+func (s *session) checkSupported(info statement.Info) *failure.Error {
 	if info.Unsupported == "" {
 		return nil
 	}
 	return failure.New(failure.Unsupported, info.Unsupported)
 }
 
-// answerFailure answers one request with an error and becomes ready again.
+// answerFailure answers one request with an error and ReadyForQuery.
 func (s *session) answerFailure(problem *failure.Error) bool {
 	s.failTransaction()
 	s.protocol.Send(errorResponse(problem, "ERROR"))
 	return s.ready()
 }
 
-// failTransaction gives up what is open at the owner, as an error does.
+// failTransaction puts an open transaction into the failed state, as an error in PostgreSQL does.
 func (s *session) failTransaction() {
 	if s.status != backend.InProgress && !s.unsynced {
 		return
@@ -216,18 +215,18 @@
 		s.status = backend.Failed
 	}
 	s.unsynced, s.uncommitted = false, false
-	s.loseTransaction()
+	s.abandonTransaction()
 }
 
-// loseTransaction gives up the open transaction: it is rolled back at the owner,
-// and the caller is kept in a failed transaction until it ends it.
-func (s *session) loseTransaction() {
+// abandonTransaction rolls the open transaction back at the owner. For the caller it is a
+// failed transaction until the caller ends it.
+func (s *session) abandonTransaction() {
 	if s.owner != "" {
 		s.server.router.EndSession(s.owner, s.group, s.id)
-		delete(s.visited, s.owner)
+		delete(s.servedBy, s.owner)
 		s.owner = ""
 	}
-	s.failedHere = s.status != backend.Idle
+	s.transactionLost = s.status != backend.Idle
 }
 
 func (s *session) ready() bool {
@@ -235,60 +234,60 @@
 	return s.protocol.Flush() == nil
 }
 
-// answerInFailedTransaction acts as PostgreSQL does in a failed transaction.
+// answerInFailedTransaction answers as PostgreSQL does in a failed transaction.
 func (s *session) answerInFailedTransaction(info statement.Info) bool {
 	if info.Control != statement.Rollback && info.Control != statement.Commit {
 		s.protocol.Send(errorResponse(failure.New(failure.FailedTransaction, ""), "ERROR"))
 		return s.ready()
 	}
-	s.failedHere = false
+	s.transactionLost = false
 	s.status = backend.Idle
 	s.protocol.Send(&pgproto3.CommandComplete{CommandTag: []byte("ROLLBACK")})
 	return s.ready()
 }
 
-// submit has one batch served and answers the caller. A batch that does not end
-// with a synchronization leaves its connection open for what follows.
+// submit submits one batch to the owner and answers the caller. If the batch ends with
+// Flush (synced is false), the owner keeps the connection for the following messages.
 func (s *session) submit(info statement.Info, batch backend.Batch, synced bool) bool {
 	if fresh := s.server.settings.Fresh; fresh != nil && !fresh() && s.status == backend.Idle && !s.unsynced {
-		return s.answerFailure(failure.Refuse(failure.Isolated, overloadRetry))
+		return s.answerFailure(failure.Refuse(failure.Isolated, overloadRetryAfter))
 	}
 	submitted := s.newRequest(info, batch)
 	if !synced {
-		leaveOpen(&submitted.Info)
+		prepareForFlush(&submitted.Info)
 	}
 	s.server.Counters.Requests.Add(1)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	s.noteCurrent(submitted)
-	served := s.server.router.Submit(ctx, submitted, s.owner, s.passOn)
-	s.number = submitted.Info.ID.Number
-	s.noteCurrent(nil)
+	s.setCurrent(submitted)
+	served := s.server.router.Submit(ctx, submitted, s.owner, s.writeToCaller)
+	s.lastNumber = submitted.Info.ID.Number
+	s.setCurrent(nil)
 	if served.Disconnect {
 		return s.fatal(failure.New(served.Result.Kind, ""))
 	}
 	if served.Owner != "" {
-		s.visited[served.Owner] = true
+		s.servedBy[served.Owner] = true
 	}
 	s.uncommitted = s.uncommitted || !synced && !info.ReadOnly && s.status == backend.Idle
 	return s.answer(submitted, served)
 }
 
-// leaveOpen makes a request ready for whatever may follow on its connection: it
-// runs at the primary like the beginning of a transaction, and commits nothing
-// before the synchronization.
-func leaveOpen(info *group.Request) {
+// prepareForFlush marks a request whose batch ends with Flush. Any statement may follow on
+// its connection, so it runs at the primary like the beginning of a transaction. Nothing is
+// committed before Sync.
+func prepareForFlush(info *group.Request) {
 	info.ReadOnly, info.MayCommit = false, false
 	info.Begins = !info.InTransaction
 }
 
-func (s *session) passOn(data []byte) error {
+func (s *session) writeToCaller(data []byte) error {
 	_, err := s.conn.Write(data)
 	return err
 }
 
 func (s *session) newRequest(info statement.Info, batch backend.Batch) *request.Request {
-	s.number++
+	s.lastNumber++
 	kind := info.Kind
 	if kind == "" {
 		kind = s.kind
@@ -296,31 +295,31 @@
 	rule, weight := s.rule(kind)
 	inTransaction := s.status != backend.Idle || s.unsynced
 	readOnly := info.ReadOnly && !rule.Write && !inTransaction
-	floor := position.Position{}
-	if s.carries {
-		floor = s.floor
+	minPosition := position.Position{}
+	if s.carriesPosition {
+		minPosition = s.minPosition
 	}
 	return &request.Request{
 		Group: s.group,
 		Info: group.Request{
-			ID: group.RequestID{Session: s.id, Number: s.number}, Caller: s.user, Weight: weight, ReadOnly: readOnly,
-			Begins: info.Control == statement.Begin, InTransaction: inTransaction,
-			MayCommit: s.mayCommit(info, readOnly, inTransaction), Rule: rule, Floor: floor,
+			ID: group.RequestID{Session: s.id, Number: s.lastNumber}, Caller: s.user, Weight: weight,
+			ReadOnly: readOnly, Begins: info.Control == statement.Begin, InTransaction: inTransaction,
+			MayCommit: s.mayCommit(info, readOnly, inTransaction), Rule: rule, Floor: minPosition,
 		},
 		Batch: batch,
 	}
 }
 
 func (s *session) rule(kind string) (policy.Rule, int) {
-	inForce := s.server.router.View().Config.Policies[s.group]
-	if inForce == nil {
+	groupPolicy := s.server.router.View().Config.Policies[s.group]
+	if groupPolicy == nil {
 		return policy.DefaultRule(), 1
 	}
-	return inForce.Table.Rule(kind), inForce.Table.Weight(s.user)
+	return groupPolicy.Table.Rule(kind), groupPolicy.Table.Weight(s.user)
 }
 
-// mayCommit reports whether running a request could commit something: an ending
-// of a transaction, or a write that is its own transaction.
+// mayCommit reports whether running a request could commit something: the end of a
+// transaction, or a write outside an explicit transaction.
 func (s *session) mayCommit(info statement.Info, readOnly, inTransaction bool) bool {
 	if info.MayCommit || s.uncommitted {
 		return true
@@ -328,7 +327,7 @@
 	return !readOnly && !inTransaction && info.Control == statement.NoControl && !info.Empty && !info.ReadOnly
 }
 
-// answer sends the caller what came of its request.
+// answer sends the result of a request to the caller.
 func (s *session) answer(submitted *request.Request, served forward.Served) bool {
 	result := served.Result
 	if result.Kind != failure.None {
@@ -345,7 +344,7 @@
 	}
 	data := result.Data
 	if !result.Position.IsZero() {
-		s.floor = position.Max(s.floor, result.Position)
+		s.minPosition = position.Max(s.minPosition, result.Position)
 		data = withPosition(data, position.Token{Group: s.group, Position: result.Position})
 	}
 	_, err := s.conn.Write(data)
@@ -355,22 +354,24 @@
 func (s *session) answerServedFailure(submitted *request.Request, result request.Result) bool {
 	if submitted.Info.InTransaction || submitted.Info.Begins {
 		if submitted.Info.MayCommit {
-			s.status = backend.Idle // the transaction is over, one way or the other
+			s.status = backend.Idle // the transaction has ended, committed or not
 		}
-		s.loseTransaction()
+		s.abandonTransaction()
 		if s.status == backend.InProgress {
 			s.status = backend.Failed
 		}
 	}
 	s.unsynced, s.uncommitted = false, false
-	s.protocol.Send(errorResponse(&failure.Error{Kind: result.Kind, Detail: result.Detail, RetryAfter: result.RetryAfter}, "ERROR"))
+	s.protocol.Send(errorResponse(
+		&failure.Error{Kind: result.Kind, Detail: result.Detail, RetryAfter: result.RetryAfter}, "ERROR",
+	))
 	return s.ready()
 }
 
-// readyForQueryBytes is the length of the message that ends an answer.
+// readyForQueryBytes is the length of an encoded ReadyForQuery message.
 const readyForQueryBytes = 6
 
-// withPosition puts the parameter dewknot.position before the final ReadyForQuery.
+// withPosition inserts a ParameterStatus of dewknot.position before the final ReadyForQuery.
 func withPosition(data []byte, token position.Token) []byte {
 	if len(data) < readyForQueryBytes {
 		return data
@@ -386,7 +387,7 @@
 	return append(out, data[split:]...)
 }
 
-func (s *session) noteCurrent(submitted *request.Request) {
+func (s *session) setCurrent(submitted *request.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if submitted == nil {
@@ -394,20 +395,20 @@
 		return
 	}
 	s.current = submitted.Info.ID
-	s.asked = s.owner
+	s.currentOwner = s.owner
 }
 
-// cancelCurrent cancels the request in progress. Any of the group's owners may
-// have it, so both are told.
+// cancelCurrent cancels the request in progress. A request that is not pinned may be at
+// the owner or at the stand-by, so both get the cancel request.
 func (s *session) cancelCurrent() {
 	s.mu.Lock()
-	current, asked := s.current, s.asked
+	current, currentOwner := s.current, s.currentOwner
 	s.mu.Unlock()
 	if current.Number == 0 {
 		return
 	}
-	owners := []string{asked}
-	if asked == "" {
+	owners := []string{currentOwner}
+	if currentOwner == "" {
 		owners = s.server.router.View().Owners(s.group)
 	}
 	for _, owner := range owners {
--- a/internal/postgres/listener/startup.go
+++ b/internal/postgres/listener/startup.go
@@ -11,8 +11,8 @@
 	"dewknot/internal/postgres/credential"
 )
 
-// startup carries out the protocol up to the first ReadyForQuery; it reports
-// false when the connection is done with.
+// startup handles the protocol up to the first ReadyForQuery. It reports false if the
+// connection is to be closed.
 func (s *session) startup() bool {
 	_ = s.conn.SetDeadline(time.Now().Add(s.server.settings.StartupTimeout))
 	message, ok := s.receiveStartup()
@@ -29,17 +29,17 @@
 	case s.server.stopping.Load():
 		return s.fatal(failure.New(failure.Stopping, ""))
 	case view == nil || !view.Ready:
-		return s.fatal(failure.Refuse(failure.NotReady, overloadRetry))
+		return s.fatal(failure.Refuse(failure.NotReady, overloadRetryAfter))
 	case !s.authenticate():
 		return false
 	case view.Config.Groups[s.group] == nil:
 		return s.fatal(failure.New(failure.UnknownService, s.group))
 	}
-	if err := s.takeStartupParameters(message.Parameters); err != nil {
+	if err := s.applyStartupParameters(message.Parameters); err != nil {
 		return s.fatal(err)
 	}
 	_ = s.conn.SetDeadline(time.Time{})
-	return s.welcome()
+	return s.completeStartup()
 }
 
 func (s *session) receiveStartup() (*pgproto3.StartupMessage, bool) {
@@ -63,8 +63,8 @@
 	}
 }
 
-// takeStartupParameters accepts dewknot.* among the connection's parameters.
-func (s *session) takeStartupParameters(parameters map[string]string) *failure.Error {
+// applyStartupParameters sets the dewknot.* parameters of the startup message and ignores others.
+func (s *session) applyStartupParameters(parameters map[string]string) *failure.Error {
 	for name, value := range parameters {
 		if len(name) <= len(parameterPrefix) || name[:len(parameterPrefix)] != parameterPrefix {
 			continue
@@ -76,32 +76,32 @@
 	return nil
 }
 
-// authenticate verifies the caller's password.
+// authenticate verifies the caller's password with SCRAM.
 func (s *session) authenticate() bool {
 	if !s.server.settings.Authenticate {
 		return true
 	}
 	user := s.server.router.View().Config.Users[s.user]
 	if user == nil {
-		return s.refuseAuthentication()
+		return s.rejectAuthentication()
 	}
 	conversation, err := credential.NewConversation(user.Verifier)
 	if err != nil {
-		return s.refuseAuthentication()
+		return s.rejectAuthentication()
 	}
 	s.protocol.Send(&pgproto3.AuthenticationSASL{AuthMechanisms: []string{credential.Mechanism}})
-	if s.protocol.Flush() != nil || !s.converse(conversation) {
-		return s.refuseAuthentication()
+	if s.protocol.Flush() != nil || !s.exchangeSASL(conversation) {
+		return s.rejectAuthentication()
 	}
 	return true
 }
 
-func (s *session) refuseAuthentication() bool {
+func (s *session) rejectAuthentication() bool {
 	s.server.Counters.AuthenticationFailures.Add(1)
 	return s.fatal(failure.New(failure.Authentication, "user "+s.user))
 }
 
-func (s *session) converse(conversation *credential.Conversation) bool {
+func (s *session) exchangeSASL(conversation *credential.Conversation) bool {
 	if s.protocol.SetAuthType(pgproto3.AuthTypeSASL) != nil {
 		return false
 	}
@@ -137,7 +137,7 @@
 	return true
 }
 
-// serverParameters are reported to callers; drivers rely on them.
+// serverParameters are sent to callers at startup; drivers rely on them.
 var serverParameters = [][2]string{
 	{"server_version", "16.0 (dewknot)"},
 	{"server_encoding", "UTF8"},
@@ -148,12 +148,14 @@
 	{"TimeZone", "UTC"},
 }
 
-func (s *session) welcome() bool {
+func (s *session) completeStartup() bool {
 	s.protocol.Send(&pgproto3.AuthenticationOk{})
 	for _, parameter := range serverParameters {
 		s.protocol.Send(&pgproto3.ParameterStatus{Name: parameter[0], Value: parameter[1]})
 	}
-	s.protocol.Send(&pgproto3.BackendKeyData{ProcessID: uint32(s.id.Session), SecretKey: binary.BigEndian.AppendUint32(nil, s.secret)})
+	s.protocol.Send(&pgproto3.BackendKeyData{
+		ProcessID: uint32(s.id.Session), SecretKey: binary.BigEndian.AppendUint32(nil, s.secret),
+	})
 	s.protocol.Send(&pgproto3.ReadyForQuery{TxStatus: backend.Idle})
 	return s.protocol.Flush() == nil
 }
