--- a/internal/postgres/peer/client.go
+++ b/internal/postgres/peer/client.go
@@ -15,28 +15,28 @@
 	"dewknot/internal/postgres/request"
 )
 
-// Times of a link.
+// Timeouts and intervals of a link.
 const (
 	dialTimeout = 500 * time.Millisecond
-	// pingInterval is the time between questions for life while streams are open.
+	// pingInterval is the interval between pings while streams are open.
 	pingInterval = 400 * time.Millisecond
-	// silenceLimit is after how long without a frame an open link counts as lost.
-	silenceLimit = 1600 * time.Millisecond
-	// redialPause is the pause between attempts to reach a peer that is down, and
-	// redialAttempts how many are made before a request must ask for more.
-	redialPause    = 200 * time.Millisecond
+	// silenceTimeout is the time without a frame after which a link with open streams is lost.
+	silenceTimeout = 1600 * time.Millisecond
+	// redialInterval is the interval between attempts to reach a peer that is down. After
+	// redialAttempts they end until the next request.
+	redialInterval = 200 * time.Millisecond
 	redialAttempts = 20
 )
 
-const readBuffer = 64 << 10
+const readBufferBytes = 64 << 10
 
-// stream is an open request on a link.
+// stream receives the frames of an open request.
 type stream struct {
 	frames chan frame
 }
 
-// connection is the asking end of one link.
-type connection struct {
+// clientLink is the requesting end of a link.
+type clientLink struct {
 	*framing.Writer
 	conn     net.Conn
 	mu       sync.Mutex
@@ -47,7 +47,7 @@
 	lastSeen time.Time
 }
 
-// Client reaches one peer. It implements request.Server towards it.
+// Client sends requests to one peer. It implements request.Server and is safe for concurrent use.
 type Client struct {
 	id      string
 	keys    Keys
@@ -55,15 +55,15 @@
 	address string
 
 	mu      sync.Mutex
-	current *connection
-	// failure is why the last link or attempt ended; nil while the peer is not
-	// known to be down. While it is set, redialing goes on aside.
-	failure   error
-	redialing bool
+	current *clientLink
+	// downErr is the error of the last link or dial attempt; nil if the peer isn't known to
+	// be down.
+	downErr   error
+	redialing bool // a background goroutine dials
 	closed    bool
 }
 
-// NewClient returns a client that dials when it is first used.
+// NewClient returns a client that dials on first use.
 func NewClient(id string, keys Keys, peerID, address string) *Client {
 	return &Client{id: id, keys: keys, peerID: peerID, address: address}
 }
@@ -71,7 +71,7 @@
 // Address returns the peer's address.
 func (c *Client) Address() string { return c.address }
 
-// Close ends the link; requests in progress get a lost link.
+// Close closes the link. Requests in progress fail with a LinkError.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -82,25 +82,25 @@
 	}
 }
 
-// connect returns the open link or dials one. A peer that is known to be down is
-// dialed aside: no request waits for a node that is frozen or gone, and the
-// listener turns to the stand-by owner at once.
-func (c *Client) connect() (*connection, error) {
+// connect returns the open link or dials one. A peer that is known to be down is dialed in
+// the background, so that requests don't wait for it and the listener can use the stand-by
+// owner without delay.
+func (c *Client) connect() (*clientLink, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
 	case c.current != nil && c.current.alive():
 		return c.current, nil
 	case c.current != nil:
-		c.failure, c.current = c.current.cause, nil
+		c.downErr, c.current = c.current.cause, nil
 	}
-	if c.failure != nil {
+	if c.downErr != nil {
 		c.redial()
-		return nil, c.failure
+		return nil, c.downErr
 	}
 	connected, err := c.dial()
 	if err != nil {
-		c.failure = err
+		c.downErr = err
 		c.redial()
 		return nil, err
 	}
@@ -108,7 +108,7 @@
 	return connected, nil
 }
 
-// redial dials until the peer answers; c.mu is held by the caller.
+// redial dials in the background until the peer answers. The caller must hold c.mu.
 func (c *Client) redial() {
 	if c.redialing || c.closed {
 		return
@@ -117,7 +117,7 @@
 	go func() {
 		for attempt := range redialAttempts {
 			if attempt > 0 {
-				time.Sleep(redialPause)
+				time.Sleep(redialInterval)
 			}
 			connected, err := c.dial()
 			if c.redialed(connected, err) {
@@ -130,8 +130,8 @@
 	}()
 }
 
-// redialed takes the result of an attempt; it reports whether to stop.
-func (c *Client) redialed(connected *connection, err error) bool {
+// redialed stores the result of a dial attempt. It reports whether redialing is done.
+func (c *Client) redialed(connected *clientLink, err error) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
@@ -141,14 +141,14 @@
 		return true
 	}
 	if err != nil {
-		c.failure = err
+		c.downErr = err
 		return false
 	}
-	c.current, c.failure, c.redialing = connected, nil, false
+	c.current, c.downErr, c.redialing = connected, nil, false
 	return true
 }
 
-func (c *connection) alive() bool {
+func (c *clientLink) alive() bool {
 	select {
 	case <-c.lost:
 		return false
@@ -157,17 +157,20 @@
 	}
 }
 
-func (c *Client) dial() (*connection, error) {
+func (c *Client) dial() (*clientLink, error) {
 	conn, err := net.DialTimeout("tcp", c.address, dialTimeout)
 	if err != nil {
 		return nil, errors.Wrap(err, "dial peer")
 	}
-	reader := bufio.NewReaderSize(conn, readBuffer)
+	reader := bufio.NewReaderSize(conn, readBufferBytes)
 	if err := c.handshake(conn, reader); err != nil {
 		_ = conn.Close()
 		return nil, err
 	}
-	connected := &connection{Writer: framing.NewWriter(conn), conn: conn, streams: map[uint64]*stream{}, lost: make(chan struct{}), lastSeen: time.Now()}
+	connected := &clientLink{
+		Writer: framing.NewWriter(conn), conn: conn, streams: map[uint64]*stream{},
+		lost: make(chan struct{}), lastSeen: time.Now(),
+	}
 	go connected.readLoop(reader)
 	go connected.watch()
 	return connected, nil
@@ -179,13 +182,15 @@
 	if err != nil {
 		return err
 	}
-	asked, err := decodeBody[challenge](received)
+	challenged, err := decodeBody[challenge](received)
 	if err != nil {
 		return err
 	}
 	nonce := newNonce()
 	out := framing.NewWriter(conn)
-	if err := send(out, frameHello, 0, &hello{ID: c.id, Nonce: nonce, Proof: c.keys.Prove(asked.Nonce, []byte(c.id))}); err != nil {
+	if err := send(out, frameHello, 0, &hello{
+		ID: c.id, Nonce: nonce, Proof: c.keys.Prove(challenged.Nonce, []byte(c.id)),
+	}); err != nil {
 		return err
 	}
 	if received, err = framing.Read(reader, handshakeBytes); err != nil {
@@ -196,13 +201,13 @@
 		return err
 	}
 	if !c.keys.Accept(answer.Proof, nonce, []byte(answer.ID)) || answer.ID != c.peerID {
-		return errors.Errorf("the node at %s does not prove to be %s", c.address, c.peerID)
+		return errors.Errorf("the node at %s did not prove that it is %s", c.address, c.peerID)
 	}
 	return errors.Wrap(conn.SetDeadline(time.Time{}), "clear deadline")
 }
 
-// fail ends the link once; every open stream notices.
-func (c *connection) fail(cause error) {
+// fail closes the link with an error; all open streams end. Later calls have no effect.
+func (c *clientLink) fail(cause error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.alive() {
@@ -213,7 +218,7 @@
 	_ = c.conn.Close()
 }
 
-func (c *connection) readLoop(reader *bufio.Reader) {
+func (c *clientLink) readLoop(reader *bufio.Reader) {
 	for {
 		received, err := framing.Read(reader, maxFrameBytes)
 		if err != nil {
@@ -230,18 +235,18 @@
 	}
 }
 
-// deliver hands a frame to its stream. The window of chunks bounds how many can
-// be outstanding, so a full channel means that the peer broke the protocol.
-func (s *stream) deliver(received frame, from *connection) {
+// deliver passes a frame to its stream. The window bounds the chunks in flight, so a full
+// channel is a protocol violation of the peer.
+func (s *stream) deliver(received frame, from *clientLink) {
 	select {
 	case s.frames <- received:
 	default:
-		from.fail(errors.New("the peer sent more than its window"))
+		from.fail(errors.New("the peer exceeded its window of chunks"))
 	}
 }
 
-// watch closes the link when the peer is silent while streams are open.
-func (c *connection) watch() {
+// watch pings the peer while streams are open and closes the link if the peer is silent.
+func (c *clientLink) watch() {
 	ticker := time.NewTicker(pingInterval)
 	defer ticker.Stop()
 	idleSince := time.Now()
@@ -252,22 +257,22 @@
 		case <-ticker.C:
 		}
 		c.mu.Lock()
-		open, silent := len(c.streams), time.Since(c.lastSeen)
+		openStreams, silence := len(c.streams), time.Since(c.lastSeen)
 		c.mu.Unlock()
-		if open == 0 {
+		if openStreams == 0 {
 			idleSince = time.Now()
 			continue
 		}
-		if silent > silenceLimit && time.Since(idleSince) > silenceLimit {
-			c.fail(errors.Errorf("the peer was silent for %s", silent.Round(time.Millisecond)))
+		if silence > silenceTimeout && time.Since(idleSince) > silenceTimeout {
+			c.fail(errors.Errorf("no frame from the peer for %s", silence.Round(time.Millisecond)))
 			return
 		}
-		// A ping that cannot be written shows in the silence.
+		// A failed write is detected by the silence timeout.
 		go func() { _ = send(c.Writer, framePing, 0, &empty{}) }()
 	}
 }
 
-func (c *connection) open() (uint64, *stream) {
+func (c *clientLink) open() (uint64, *stream) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.next++
@@ -276,27 +281,29 @@
 	return c.next, created
 }
 
-func (c *connection) closeStream(number uint64) {
+func (c *clientLink) closeStream(number uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.streams, number)
 }
 
-func (c *Client) lostError(sent bool, cause error) error {
+func (c *Client) linkError(sent bool, cause error) error {
 	return &request.LinkError{Peer: c.peerID, Sent: sent, Cause: cause}
 }
 
 // Submit implements request.Server.
-func (c *Client) Submit(ctx context.Context, submitted *request.Request, passOn func([]byte) error) (request.Result, error) {
+func (c *Client) Submit(
+	ctx context.Context, submitted *request.Request, forward func([]byte) error,
+) (request.Result, error) {
 	connected, err := c.connect()
 	if err != nil {
-		return request.Result{}, c.lostError(false, err)
+		return request.Result{}, c.linkError(false, err)
 	}
 	number, opened := connected.open()
 	defer connected.closeStream(number)
 	if err := send(connected.Writer, frameRequest, number, submitted); err != nil {
 		connected.fail(err)
-		return request.Result{}, c.lostError(true, err)
+		return request.Result{}, c.linkError(true, err)
 	}
 	for {
 		select {
@@ -304,27 +311,27 @@
 			if frameKind(received.Kind) == frameResult {
 				result, err := decodeBody[request.Result](received)
 				if err != nil {
-					return request.Result{}, c.lostError(true, err)
+					return request.Result{}, c.linkError(true, err)
 				}
 				return *result, nil
 			}
-			if err := takeChunk(connected, number, received, passOn); err != nil {
-				return request.Result{}, c.lostError(true, err)
+			if err := handleChunk(connected, number, received, forward); err != nil {
+				return request.Result{}, c.linkError(true, err)
 			}
 		case <-connected.lost:
-			return request.Result{}, c.lostError(true, connected.cause)
+			return request.Result{}, c.linkError(true, connected.cause)
 		case <-ctx.Done():
-			return request.Result{}, c.lostError(true, ctx.Err())
+			return request.Result{}, c.linkError(true, ctx.Err())
 		}
 	}
 }
 
-func takeChunk(connected *connection, number uint64, received frame, passOn func([]byte) error) error {
+func handleChunk(connected *clientLink, number uint64, received frame, forward func([]byte) error) error {
 	part, err := decodeBody[chunk](received)
 	if err != nil {
 		return err
 	}
-	if err := passOn(part.Data); err != nil {
+	if err := forward(part.Data); err != nil {
 		return err
 	}
 	return send(connected.Writer, frameCredit, number, &empty{})
@@ -350,7 +357,7 @@
 	}
 }
 
-// Sync asks the peer for its state.
+// Sync requests the peer's state.
 func (c *Client) Sync(ctx context.Context, since, membersDigest uint64) (core.SyncState, error) {
 	connected, err := c.connect()
 	if err != nil {
@@ -358,7 +365,9 @@
 	}
 	number, opened := connected.open()
 	defer connected.closeStream(number)
-	if err := send(connected.Writer, frameSync, number, &syncRequest{Since: since, Members: membersDigest}); err != nil {
+	if err := send(connected.Writer, frameSync, number, &syncRequest{
+		Since: since, Members: membersDigest,
+	}); err != nil {
 		return core.SyncState{}, err
 	}
 	select {
--- a/internal/postgres/peer/frame.go
+++ b/internal/postgres/peer/frame.go
@@ -1,10 +1,10 @@
-// Package peer is the internal protocol between nodes: msgpack frames over TCP.
+// Package peer implements the protocol between nodes: msgpack frames over TCP.
 //
-// A link begins with a mutual proof of the fleet key. After that frames of many
-// streams share it. A stream is one request: its number is never used again on
-// the link, and frames of unknown streams are dropped, so that a late frame can
-// not reach another request. A link whose peer falls silent while streams are
-// open is closed; what was outstanding on it then has an unknown outcome.
+// A link begins with a handshake in which both nodes prove that they have the fleet key.
+// After that it carries the frames of many streams. A stream is one request. Its number is
+// not reused on the link, and frames of unknown streams are dropped, so that a late frame
+// cannot reach another request. A link whose peer is silent while streams are open is
+// closed; the outcome of requests in progress on it is unknown.
 package peer
 
 import (
@@ -39,10 +39,10 @@
 	framePong
 )
 
-// maxFrameBytes bounds a frame; a longer one ends the link.
+// maxFrameBytes is the maximum size of a frame; a larger one ends the link.
 const maxFrameBytes = 64 << 20
 
-// Bodies of the frames that are not defined elsewhere.
+// Frame bodies that are not defined in other packages.
 type (
 	challenge struct {
 		Nonce []byte `msgpack:"n"`
@@ -74,12 +74,13 @@
 	empty struct{}
 )
 
-// body lists the types that a frame can carry.
+// body is the constraint of the types that a frame can carry.
 type body interface {
-	challenge | hello | welcome | request.Request | request.Result | endSession | cancelRequest | syncRequest | core.SyncState | chunk | empty
+	challenge | hello | welcome | request.Request | request.Result | endSession | cancelRequest |
+		syncRequest | core.SyncState | chunk | empty
 }
 
-// frame is a received frame whose body is not decoded yet.
+// frame is a received frame with an encoded body.
 type frame = framing.Frame
 
 func send[T body](w *framing.Writer, kind frameKind, stream uint64, value *T) error {
@@ -91,8 +92,8 @@
 	return value, codec.Decode(received.Body, value)
 }
 
-// Keys are the fleet's keys: the first is used for proofs, all are accepted, so
-// that a key can be changed node by node.
+// Keys are the fleet's keys. The first is used for proofs and all are accepted, so that a
+// key can be replaced node by node.
 type Keys []string
 
 const nonceBytes = 16
@@ -103,7 +104,7 @@
 	return nonce
 }
 
-// Prove returns a keyed digest over the parts.
+// Prove returns an HMAC of the parts with the first key.
 func (k Keys) Prove(parts ...[]byte) []byte { return proof(k[0], parts) }
 
 func proof(key string, parts [][]byte) []byte {
@@ -115,10 +116,10 @@
 	return mac.Sum(nil)
 }
 
-// Accept reports whether a digest over the parts was made with one of the keys.
-func (k Keys) Accept(given []byte, parts ...[]byte) bool {
+// Accept reports whether the digest is an HMAC of the parts with one of the keys.
+func (k Keys) Accept(digest []byte, parts ...[]byte) bool {
 	for _, key := range k {
-		if hmac.Equal(given, proof(key, parts)[:min(len(given), sha256.Size)]) && len(given) >= nonceBytes {
+		if hmac.Equal(digest, proof(key, parts)[:min(len(digest), sha256.Size)]) && len(digest) >= nonceBytes {
 			return true
 		}
 	}
--- a/internal/postgres/peer/peer_test.go
+++ b/internal/postgres/peer/peer_test.go
@@ -20,15 +20,17 @@
 	"dewknot/internal/postgres/request"
 )
 
-// echoServer answers each request with its own messages, in parts, late and out
-// of order.
+// echoServer answers each request with its own messages, in chunks and after a random delay,
+// so that answers arrive out of order.
 type echoServer struct {
 	mu    sync.Mutex
 	ended []group.SessionID
-	block chan struct{}
+	block chan struct{} // if set, requests wait until it is closed
 }
 
-func (e *echoServer) Submit(ctx context.Context, submitted *request.Request, chunk func([]byte) error) (request.Result, error) {
+func (e *echoServer) Submit(
+	ctx context.Context, submitted *request.Request, chunk func([]byte) error,
+) (request.Result, error) {
 	if e.block != nil {
 		select {
 		case <-e.block:
@@ -51,7 +53,7 @@
 	e.ended = append(e.ended, session)
 }
 
-// requireEnded waits until a number of sessions have ended.
+// requireEnded waits until count sessions have ended.
 func (e *echoServer) requireEnded(t *testing.T, count int) {
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
@@ -62,7 +64,7 @@
 			return
 		}
 	}
-	t.Fatalf("%d sessions were not ended", count)
+	t.Fatalf("timeout: the number of ended sessions is not %d", count)
 }
 
 func (e *echoServer) Cancel(string, group.RequestID) {}
@@ -71,7 +73,7 @@
 	return core.SyncState{Complete: since + 1}
 }
 
-func listen(t *testing.T, served *echoServer, keys Keys) *Listener {
+func startListener(t *testing.T, served *echoServer, keys Keys) *Listener {
 	t.Helper()
 	listener, err := Listen("127.0.0.1:0", "b", keys, served, served, zap.NewNop())
 	must.NoError(t, err)
@@ -81,19 +83,22 @@
 
 var testKeys = Keys{"new-key-0123456789", "old-key-0123456789"}
 
-func numbered(number uint64) *request.Request {
+func newTestRequest(number uint64) *request.Request {
 	return &request.Request{
-		Group: "g", Info: group.Request{ID: group.RequestID{Session: group.SessionID{Listener: 1, Session: number}, Number: number}},
+		Group: "g",
+		Info: group.Request{
+			ID: group.RequestID{Session: group.SessionID{Listener: 1, Session: number}, Number: number},
+		},
 		Batch: backend.Batch{Messages: fmt.Appendf(nil, "request %d;", number)},
 	}
 }
 
-// Requests share a link; each gets every part of its own answer and no other's.
-func TestStreamsNeverMix(t *testing.T) {
-	listener := listen(t, &echoServer{}, testKeys)
+// Guards against chunks that reach the wrong request when many requests share a link.
+func TestStreamsDoNotMix(t *testing.T) {
+	listener := startListener(t, &echoServer{}, testKeys)
 	client := NewClient("a", Keys{"old-key-0123456789"}, "b", listener.Address())
 	_, err := client.Sync(context.Background(), 1, 2)
-	must.Error(t, err) // the listener proves with its new key, which this client lacks
+	must.Error(t, err) // the listener's proof uses the new key, which this client doesn't have
 	client = NewClient("a", testKeys, "b", listener.Address())
 	defer client.Close()
 	var all sync.WaitGroup
@@ -102,7 +107,7 @@
 		go func() {
 			defer all.Done()
 			var got bytes.Buffer
-			result, err := client.Submit(context.Background(), numbered(number), func(part []byte) error {
+			result, err := client.Submit(context.Background(), newTestRequest(number), func(part []byte) error {
 				_, err := got.Write(part)
 				return err
 			})
@@ -118,14 +123,15 @@
 	must.Eq(t, 42, state.Complete)
 }
 
-// A lost link leaves the outcome unknown at one end and ends the sessions at the other.
+// Guards against a lost link that is reported as not sent, or that leaves sessions open at
+// the server.
 func TestLostLink(t *testing.T) {
 	served := &echoServer{block: make(chan struct{})}
-	listener := listen(t, served, testKeys)
+	listener := startListener(t, served, testKeys)
 	client := NewClient("a", testKeys, "b", listener.Address())
 	failure := make(chan error, 1)
 	go func() {
-		_, err := client.Submit(context.Background(), numbered(7), func([]byte) error { return nil })
+		_, err := client.Submit(context.Background(), newTestRequest(7), func([]byte) error { return nil })
 		failure <- err
 	}()
 	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
@@ -144,26 +150,27 @@
 	served.requireEnded(t, 1)
 }
 
-// A peer that membership has given up loses its links, and its sessions end.
-func TestDroppedPeer(t *testing.T) {
+// Guards against sessions that stay open after their peer was removed from the membership.
+func TestDropEndsSessionsOfPeer(t *testing.T) {
 	served := &echoServer{}
-	listener := listen(t, served, testKeys)
+	listener := startListener(t, served, testKeys)
 	client := NewClient("a", testKeys, "b", listener.Address())
 	defer client.Close()
-	_, err := client.Submit(context.Background(), numbered(3), func([]byte) error { return nil })
+	_, err := client.Submit(context.Background(), newTestRequest(3), func([]byte) error { return nil })
 	must.NoError(t, err)
 	listener.Drop("c")
-	_, err = client.Submit(context.Background(), numbered(5), func([]byte) error { return nil })
+	_, err = client.Submit(context.Background(), newTestRequest(5), func([]byte) error { return nil })
 	must.NoError(t, err)
 	listener.Drop("a")
 	served.requireEnded(t, 2)
 }
 
-// A peer without the key, or with broken frames, is refused and harms nobody.
-func TestStrangers(t *testing.T) {
-	listener := listen(t, &echoServer{}, testKeys)
-	stranger := NewClient("a", Keys{"another-key-0123456"}, "b", listener.Address())
-	_, err := stranger.Submit(context.Background(), numbered(1), nil)
+// Guards against accepting a peer without the key, and against malformed frames that
+// disturb other links.
+func TestUnauthenticatedPeersAreRejected(t *testing.T) {
+	listener := startListener(t, &echoServer{}, testKeys)
+	untrusted := NewClient("a", Keys{"another-key-0123456"}, "b", listener.Address())
+	_, err := untrusted.Submit(context.Background(), newTestRequest(1), nil)
 	var refused *request.LinkError
 	must.True(t, errors.As(err, &refused))
 	must.False(t, refused.Sent)
@@ -173,9 +180,9 @@
 		_, _ = conn.Write(garbage)
 		_ = conn.Close()
 	}
-	friend := NewClient("a", testKeys, "b", listener.Address())
-	defer friend.Close()
-	result, err := friend.Submit(context.Background(), numbered(1), func([]byte) error { return nil })
+	trusted := NewClient("a", testKeys, "b", listener.Address())
+	defer trusted.Close()
+	result, err := trusted.Submit(context.Background(), newTestRequest(1), func([]byte) error { return nil })
 	must.NoError(t, err)
 	must.Eq(t, "request 1;", string(result.Data))
 }
--- a/internal/postgres/peer/server.go
+++ b/internal/postgres/peer/server.go
@@ -15,7 +15,7 @@
 	"dewknot/internal/postgres/request"
 )
 
-// SyncSource answers a peer's question for state.
+// SyncSource answers a peer's request for this node's state.
 type SyncSource interface {
 	AnswerSync(since, membersDigest uint64) core.SyncState
 }
@@ -24,25 +24,29 @@
 type Listener struct {
 	id     string
 	keys   Keys
-	serve  request.Server
+	server request.Server
 	sync   SyncSource
 	log    *zap.Logger
 	socket net.Listener
 	mu     sync.Mutex
-	links  map[net.Conn]string // the peer behind each, "" before its proof
+	links  map[net.Conn]string // ID of the peer, "" before the handshake
 	closed bool
 	done   sync.WaitGroup
-	// Refused counts links that failed to prove the fleet key.
+	// refused counts links whose handshake failed.
 	refused uint64
 }
 
-// Listen opens the address for peers.
-func Listen(address, id string, keys Keys, serve request.Server, source SyncSource, log *zap.Logger) (*Listener, error) {
+// Listen listens on the address and begins to accept peers.
+func Listen(
+	address, id string, keys Keys, server request.Server, source SyncSource, log *zap.Logger,
+) (*Listener, error) {
 	socket, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, errors.Wrapf(err, "listen for peers on %s; name a free address", address)
 	}
-	listener := &Listener{id: id, keys: keys, serve: serve, sync: source, log: log, socket: socket, links: map[net.Conn]string{}}
+	listener := &Listener{
+		id: id, keys: keys, server: server, sync: source, log: log, socket: socket, links: map[net.Conn]string{},
+	}
 	listener.done.Add(1)
 	go listener.acceptLoop()
 	return listener, nil
@@ -51,7 +55,7 @@
 // Address returns the listening address.
 func (l *Listener) Address() string { return l.socket.Addr().String() }
 
-// Close ends all links.
+// Close closes all links and waits for their goroutines.
 func (l *Listener) Close() {
 	_ = l.socket.Close()
 	l.mu.Lock()
@@ -97,65 +101,64 @@
 	_ = conn.Close()
 }
 
-// handshakeTimeout bounds the proof of the fleet key; handshakeBytes bounds the
-// frames before it.
+// handshakeTimeout is the timeout of the handshake, and handshakeBytes the maximum size of
+// its frames.
 const (
 	handshakeTimeout = 3 * time.Second
 	handshakeBytes   = 4096
 )
 
-// link is the serving end of one link.
-type link struct {
+// serverLink is the serving end of a link.
+type serverLink struct {
 	*framing.Writer
 	conn     net.Conn
 	listener *Listener
 	ctx      context.Context
 	mu       sync.Mutex
-	// sessions holds what must be ended when the link is lost.
+	// sessions are the sessions to end when the link is lost.
 	sessions map[endSession]struct{}
-	credits  map[uint64]chan struct{}
+	credits  map[uint64]chan struct{} // by stream
 	requests sync.WaitGroup
 }
 
 func (l *Listener) serveLink(conn net.Conn) {
-	reader := bufio.NewReaderSize(conn, readBuffer)
+	reader := bufio.NewReaderSize(conn, readBufferBytes)
 	peerID, err := l.handshake(conn, reader)
 	if err != nil {
 		l.mu.Lock()
 		l.refused++
 		l.mu.Unlock()
-		l.log.Info("peer: link refused", zap.String("address", conn.RemoteAddr().String()), zap.Error(err))
+		l.log.Info("peer: handshake failed", zap.String("address", conn.RemoteAddr().String()), zap.Error(err))
 		return
 	}
-	l.name(conn, peerID)
+	l.setPeer(conn, peerID)
 	ctx, cancel := context.WithCancel(context.Background())
-	served := &link{
+	served := &serverLink{
 		Writer: framing.NewWriter(conn), conn: conn, listener: l, ctx: ctx,
 		sessions: map[endSession]struct{}{}, credits: map[uint64]chan struct{}{},
 	}
 	err = served.readLoop(reader)
 	cancel()
-	l.log.Debug("peer: link ended", zap.String("peer", peerID), zap.Error(err))
+	l.log.Debug("peer: link closed", zap.String("peer", peerID), zap.Error(err))
 	served.endSessions()
 	_ = conn.Close()
 	served.requests.Wait()
 }
 
-func (l *Listener) name(conn net.Conn, peerID string) {
+func (l *Listener) setPeer(conn net.Conn, peerID string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.links[conn] = peerID
 }
 
-// Drop closes the links from a peer that is no longer a member, so that the
-// sessions it brought end and their transactions are rolled back. A peer that
-// vanished without a word is found by membership; the links themselves are silent
-// while nothing is asked, which keeps them free of cost.
+// Drop closes the links from a peer that is no longer a member, which ends its sessions and
+// rolls their transactions back. Idle links have no traffic, so a peer that disappeared is
+// detected by membership and not by its links.
 func (l *Listener) Drop(peerID string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for conn, name := range l.links {
-		if name == peerID {
+	for conn, peer := range l.links {
+		if peer == peerID {
 			_ = conn.Close()
 		}
 	}
@@ -177,40 +180,40 @@
 		return "", err
 	}
 	if frameKind(received.Kind) != frameHello || !l.keys.Accept(greeting.Proof, nonce, []byte(greeting.ID)) {
-		return "", errors.New("the peer does not prove the fleet key; give both nodes the same fleet_keys")
+		return "", errors.New("the peer did not prove the fleet key; configure the same fleet_keys on both nodes")
 	}
 	err = send(out, frameWelcome, 0, &welcome{ID: l.id, Proof: l.keys.Prove(greeting.Nonce, []byte(l.id))})
 	_ = conn.SetDeadline(time.Time{})
 	return greeting.ID, err
 }
 
-// Refused returns how many links failed to prove the fleet key.
+// Refused returns the number of links whose handshake failed.
 func (l *Listener) Refused() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.refused
 }
 
-func (l *link) readLoop(reader *bufio.Reader) error {
+func (l *serverLink) readLoop(reader *bufio.Reader) error {
 	for {
 		received, err := framing.Read(reader, maxFrameBytes)
 		if err != nil {
 			return err
 		}
-		if err := l.take(received); err != nil {
+		if err := l.handleFrame(received); err != nil {
 			return err
 		}
 	}
 }
 
-func (l *link) take(received frame) error {
+func (l *serverLink) handleFrame(received frame) error {
 	switch frameKind(received.Kind) {
 	case frameRequest:
 		submitted, err := decodeBody[request.Request](received)
 		if err != nil {
 			return err
 		}
-		l.begin(received.Stream, submitted)
+		l.startRequest(received.Stream, submitted)
 	case frameCredit:
 		l.addCredit(received.Stream)
 	case frameEndSession:
@@ -218,19 +221,19 @@
 		if err != nil {
 			return err
 		}
-		l.endOne(*ended)
+		l.endOneSession(*ended)
 	case frameCancel:
 		canceled, err := decodeBody[cancelRequest](received)
 		if err != nil {
 			return err
 		}
-		l.listener.serve.Cancel(canceled.Group, canceled.ID)
+		l.listener.server.Cancel(canceled.Group, canceled.ID)
 	case frameSync:
-		asked, err := decodeBody[syncRequest](received)
+		wanted, err := decodeBody[syncRequest](received)
 		if err != nil {
 			return err
 		}
-		answer := l.listener.sync.AnswerSync(asked.Since, asked.Members)
+		answer := l.listener.sync.AnswerSync(wanted.Since, wanted.Members)
 		return send(l.Writer, frameSyncAnswer, received.Stream, &answer)
 	case framePing:
 		return send(l.Writer, framePong, received.Stream, &empty{})
@@ -240,10 +243,10 @@
 	return nil
 }
 
-// windowChunks is how many parts of an answer may be on their way.
+// windowChunks is the maximum number of chunks of an answer in flight.
 const windowChunks = 8
 
-func (l *link) begin(stream uint64, submitted *request.Request) {
+func (l *serverLink) startRequest(stream uint64, submitted *request.Request) {
 	credit := make(chan struct{}, windowChunks)
 	for range windowChunks {
 		credit <- struct{}{}
@@ -259,8 +262,8 @@
 	}()
 }
 
-func (l *link) runRequest(stream uint64, submitted *request.Request, credit chan struct{}) {
-	result, err := l.listener.serve.Submit(l.ctx, submitted, func(data []byte) error {
+func (l *serverLink) runRequest(stream uint64, submitted *request.Request, credit chan struct{}) {
+	result, err := l.listener.server.Submit(l.ctx, submitted, func(data []byte) error {
 		select {
 		case <-credit:
 			return send(l.Writer, frameChunk, stream, &chunk{Data: data})
@@ -272,13 +275,13 @@
 	delete(l.credits, stream)
 	l.mu.Unlock()
 	if err != nil {
-		_ = l.conn.Close() // the outcome is unknown here too: the lost link says so
+		_ = l.conn.Close() // the outcome is unknown, which the peer learns from the lost link
 		return
 	}
 	_ = send(l.Writer, frameResult, stream, &result)
 }
 
-func (l *link) addCredit(stream uint64) {
+func (l *serverLink) addCredit(stream uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if credit := l.credits[stream]; credit != nil {
@@ -289,15 +292,15 @@
 	}
 }
 
-func (l *link) endOne(ended endSession) {
+func (l *serverLink) endOneSession(ended endSession) {
 	l.mu.Lock()
 	delete(l.sessions, ended)
 	l.mu.Unlock()
-	l.listener.serve.EndSession(ended.Group, ended.Session)
+	l.listener.server.EndSession(ended.Group, ended.Session)
 }
 
-// endSessions rolls back the transactions of every session that came over the link.
-func (l *link) endSessions() {
+// endSessions ends all sessions of the link, which rolls their transactions back.
+func (l *serverLink) endSessions() {
 	l.mu.Lock()
 	sessions := make([]endSession, 0, len(l.sessions))
 	for session := range l.sessions {
@@ -305,6 +308,6 @@
 	}
 	l.mu.Unlock()
 	for _, session := range sessions {
-		l.listener.serve.EndSession(session.Group, session.Session)
+		l.listener.server.EndSession(session.Group, session.Session)
 	}
 }
