--- a/internal/postgres/backend/batch.go
+++ b/internal/postgres/backend/batch.go
@@ -1,8 +1,8 @@
 // Package backend runs batches of protocol messages on pooled connections to
 // database servers.
 //
-// A connection is lent for one batch or for one transaction. It goes back to the
-// pool only when it is known to be clean; after any doubt it is closed.
+// A connection is acquired for one batch or one transaction. It is released to the pool only
+// if it is known to be clean; otherwise it is closed.
 package backend
 
 import (
@@ -14,39 +14,39 @@
 
 // Statement is a named prepared statement that a batch refers to.
 type Statement struct {
-	// Name is derived from the text, so that it means the same on every connection.
+	// Name is derived from the text, so that it is the same on every connection.
 	Name  string   `msgpack:"n"`
 	Query string   `msgpack:"q"`
 	OIDs  []uint32 `msgpack:"o"`
 }
 
-// Batch is a caller's messages up to and including a Query, Sync or Flush, with
-// statement names already replaced.
+// Batch holds a caller's messages up to and including a Query, Sync or Flush. Statement
+// names are already replaced by those of Statement.
 type Batch struct {
 	// Messages holds encoded frontend messages.
 	Messages []byte `msgpack:"m"`
-	// Statements defines the statements that Messages refers to.
+	// Statements are the definitions of the statements that Messages refers to.
 	Statements []Statement `msgpack:"s"`
 }
 
-// expectation is a message sent to the server whose answer is outstanding.
+// expectation is an outstanding answer.
 type expectation uint8
 
 const (
-	expectParse expectation = iota
-	expectSilentParse
+	expectParse       expectation = iota
+	expectSilentParse             // sent by the planner, its answer isn't passed to the caller
 	expectBind
 	expectDescribe
 	expectExecute
 	expectClose
 	expectSync
 	expectQuery
-	// The server is not asked for these; the answer is made here.
-	madeParseComplete
-	madeCloseComplete
+	// These messages aren't sent to the server; the answerReader makes their answers.
+	localParseComplete
+	localCloseComplete
 )
 
-// Message types of the PostgreSQL protocol (frontend).
+// Types of frontend messages in the PostgreSQL protocol.
 const (
 	typeParse    = 'P'
 	typeBind     = 'B'
@@ -58,29 +58,29 @@
 	typeQuery    = 'Q'
 )
 
-// headerBytes is the length of a message's type and length fields.
+// headerBytes is the size of a message's type and length fields.
 const headerBytes = 5
 
-// plan turns a batch into bytes for one connection and the answers to expect.
+// plan is a batch encoded for one connection, and the answers to expect.
 type plan struct {
 	out      []byte
 	expected []expectation
-	// parses holds the names of the statements prepared by this batch, in order.
+	// parses are the names of the statements that the batch prepares, in order.
 	parses []string
 }
 
-// planner knows which statements the connection has.
+// planner makes the plan of a batch.
 type planner struct {
-	prepared   map[string]struct{}
-	statements map[string]Statement
+	prepared   map[string]struct{}  // names of the statements on the connection
+	statements map[string]Statement // by name
 	plan       plan
-	planned    map[string]struct{}
+	planned    map[string]struct{} // names of the statements that the batch prepares
 }
 
 func planBatch(batch Batch, prepared map[string]struct{}) (plan, error) {
-	work := &planner{prepared: prepared, statements: map[string]Statement{}, planned: map[string]struct{}{}}
+	builder := &planner{prepared: prepared, statements: map[string]Statement{}, planned: map[string]struct{}{}}
 	for _, statement := range batch.Statements {
-		work.statements[statement.Name] = statement
+		builder.statements[statement.Name] = statement
 	}
 	rest := batch.Messages
 	for len(rest) > 0 {
@@ -91,19 +91,19 @@
 		if size < headerBytes || size > len(rest) {
 			return plan{}, errors.Errorf("batch holds a message of length %d", size)
 		}
-		if err := work.add(rest[0], rest[:size]); err != nil {
+		if err := builder.add(rest[0], rest[:size]); err != nil {
 			return plan{}, err
 		}
 		rest = rest[size:]
 	}
-	return work.plan, nil
+	return builder.plan, nil
 }
 
 func (w *planner) add(kind byte, raw []byte) error {
 	body := raw[headerBytes:]
 	switch kind {
 	case typeQuery:
-		w.pass(raw, expectQuery)
+		w.forward(raw, expectQuery)
 	case typeParse:
 		message := pgproto3.Parse{}
 		if err := message.Decode(body); err != nil {
@@ -115,23 +115,23 @@
 		if err := message.Decode(body); err != nil {
 			return errors.Wrap(err, "decode Bind")
 		}
-		w.ensure(message.PreparedStatement)
-		w.pass(raw, expectBind)
+		w.ensurePrepared(message.PreparedStatement)
+		w.forward(raw, expectBind)
 	case typeDescribe:
 		message := pgproto3.Describe{}
 		if err := message.Decode(body); err != nil {
 			return errors.Wrap(err, "decode Describe")
 		}
 		if message.ObjectType == 'S' {
-			w.ensure(message.Name)
+			w.ensurePrepared(message.Name)
 		}
-		w.pass(raw, expectDescribe)
+		w.forward(raw, expectDescribe)
 	case typeExecute:
-		w.pass(raw, expectExecute)
+		w.forward(raw, expectExecute)
 	case typeClose:
 		w.close(raw, body)
 	case typeSync:
-		w.pass(raw, expectSync)
+		w.forward(raw, expectSync)
 	case typeFlush:
 		w.plan.out = append(w.plan.out, raw...)
 	default:
@@ -140,36 +140,36 @@
 	return nil
 }
 
-func (w *planner) pass(raw []byte, expected expectation) {
+func (w *planner) forward(raw []byte, expected expectation) {
 	w.plan.out = append(w.plan.out, raw...)
 	w.plan.expected = append(w.plan.expected, expected)
 }
 
-func (w *planner) has(name string) bool {
+func (w *planner) isPrepared(name string) bool {
 	_, before := w.prepared[name]
 	_, now := w.planned[name]
 	return before || now
 }
 
-// parse prepares a statement, or answers at once if the connection has it.
+// parse prepares a statement unless it is already prepared on the connection.
 func (w *planner) parse(name string) {
-	if w.has(name) {
-		w.plan.expected = append(w.plan.expected, madeParseComplete)
+	if w.isPrepared(name) {
+		w.plan.expected = append(w.plan.expected, localParseComplete)
 		return
 	}
 	w.prepare(name, expectParse)
 }
 
-// ensure prepares a statement that an earlier batch prepared elsewhere.
-func (w *planner) ensure(name string) {
-	if !w.has(name) {
+// ensurePrepared prepares a statement that an earlier batch prepared on another connection.
+func (w *planner) ensurePrepared(name string) {
+	if !w.isPrepared(name) {
 		w.prepare(name, expectSilentParse)
 	}
 }
 
 func (w *planner) prepare(name string, expected expectation) {
-	statement, known := w.statements[name]
-	if !known {
+	statement, defined := w.statements[name]
+	if !defined {
 		return // the server will answer that the statement does not exist
 	}
 	message := pgproto3.Parse{Name: name, Query: statement.Query, ParameterOIDs: statement.OIDs}
@@ -179,15 +179,15 @@
 	}
 	w.planned[name] = struct{}{}
 	w.plan.parses = append(w.plan.parses, name)
-	w.pass(encoded, expected)
+	w.forward(encoded, expected)
 }
 
-// close keeps statements on the connection, where other callers use them too,
-// and passes the closing of portals on.
+// close forwards the closing of portals. Statements stay prepared on the connection, because
+// other callers use them.
 func (w *planner) close(raw, body []byte) {
 	if len(body) > 0 && body[0] == 'S' {
-		w.plan.expected = append(w.plan.expected, madeCloseComplete)
+		w.plan.expected = append(w.plan.expected, localCloseComplete)
 		return
 	}
-	w.pass(raw, expectClose)
+	w.forward(raw, expectClose)
 }
--- a/internal/postgres/backend/conn.go
+++ b/internal/postgres/backend/conn.go
@@ -13,9 +13,9 @@
 	"dewknot/internal/postgres/replication"
 )
 
-// StatusQuery is the question to which a server reports its role, term and log
-// positions. The columns are role, term, received and applied; positions are
-// written term/offset (docs/OPERATIONS.md, "What a database group must report").
+// StatusQuery returns a server's role, term and received and applied log positions.
+// Positions have the form term/offset (docs/OPERATIONS.md, "What a database group must
+// report").
 const StatusQuery = "SELECT role, term, received, applied FROM group_status"
 
 // Transaction states in ReadyForQuery (PostgreSQL protocol).
@@ -23,10 +23,10 @@
 	Idle        = byte('I')
 	InProgress  = byte('T')
 	Failed      = byte('E')
-	statusWidth = 4
+	statusWidth = 4 // columns of StatusQuery
 )
 
-// Address is how to reach a server.
+// Address holds the address of a server and the credentials for it.
 type Address struct {
 	Server   string
 	User     string
@@ -34,20 +34,21 @@
 	Database string
 }
 
-// Conn is a connection to a server. It is used by one goroutine at a time.
+// Conn is a connection to a server. Except for Close and Cancel it is not safe for
+// concurrent use.
 type Conn struct {
 	net      net.Conn
 	frontend *pgproto3.Frontend
 	address  Address
 	pid      uint32
 	secret   []byte
-	prepared map[string]struct{}
+	prepared map[string]struct{} // names of the prepared statements
 	lastUsed time.Time
-	out      []byte
+	out      []byte // buffer of Status
 }
 
-// maxPrepared bounds the statements kept on one connection; past it the
-// connection is closed after use.
+// maxPrepared is the maximum number of prepared statements on a connection. A connection
+// with more is closed after use.
 const maxPrepared = 500
 
 // Dial connects and authenticates.
@@ -73,7 +74,7 @@
 	}
 	hijacked, err := connected.Hijack()
 	if err != nil {
-		return nil, errors.Wrap(err, "take over connection")
+		return nil, errors.Wrap(err, "hijack connection")
 	}
 	return &Conn{
 		net: hijacked.Conn, frontend: hijacked.Frontend, address: address,
@@ -81,8 +82,8 @@
 	}, nil
 }
 
-// Close ends the connection; a running batch fails. Bytes that the server has not
-// acknowledged are dropped, so that they cannot arrive after a cut has healed.
+// Close closes the connection; a running batch fails. Data that the server has not
+// acknowledged is dropped, so that it cannot arrive after a network partition.
 func (c *Conn) Close() {
 	if tcp, ok := c.net.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -90,7 +91,7 @@
 	_ = c.net.Close()
 }
 
-// Cancel asks the server to cancel what runs on the connection.
+// Cancel asks the server to cancel the running query of the connection.
 func (c *Conn) Cancel(ctx context.Context) error {
 	dialer := net.Dialer{}
 	conn, err := dialer.DialContext(ctx, "tcp", c.address.Server)
@@ -107,25 +108,25 @@
 	return errors.Wrap(err, "send cancel request")
 }
 
-// RunReport is what a batch did.
+// RunReport describes the execution of a batch.
 type RunReport struct {
-	// Sent is true when at least one byte may have reached the server.
+	// Sent is true if at least one byte may have reached the server.
 	Sent bool
-	// Status is the transaction state after the batch; meaningful if Synced.
+	// Status is the transaction state after the batch; only valid if Synced.
 	Status byte
-	// Synced is false when the batch ended with Flush, so that the server waits for Sync.
+	// Synced is false if the batch ended with Flush, so that the server waits for Sync.
 	Synced bool
-	// SawCommand is true when some statement completed.
-	SawCommand bool
+	// CommandCompleted is true if at least one statement completed.
+	CommandCompleted bool
 	// FirstError is the SQLSTATE of the first error, or "".
 	FirstError string
-	// Position is the server's position read after the batch, if it was asked for.
+	// Position is the server's received position after the batch, if it was requested.
 	Position position.Position
 }
 
-// Run sends a batch and passes the encoded answer to sink, message by message.
-// With withPosition the server's position is read after the batch in the same
-// round trip. After an error the connection must be closed.
+// Run sends a batch and passes the encoded answer to sink, message by message. If
+// withPosition is true, the server's position is read after the batch in the same round
+// trip. After an error the connection must be closed.
 func (c *Conn) Run(batch Batch, withPosition bool, sink func([]byte) error) (RunReport, error) {
 	report := RunReport{Status: Idle}
 	planned, err := planBatch(batch, c.prepared)
@@ -157,7 +158,7 @@
 	return report, nil
 }
 
-// Status asks the server for its status.
+// Status queries the server's status.
 func (c *Conn) Status(deadline time.Time) (replication.Report, error) {
 	if err := c.net.SetDeadline(deadline); err != nil {
 		return replication.Report{}, errors.Wrap(err, "set deadline")
@@ -218,19 +219,19 @@
 	return report, err
 }
 
-// answerReader matches a server's answers with what was sent.
+// answerReader matches a server's answers with the messages of a plan.
 type answerReader struct {
-	conn   *Conn
-	plan   plan
-	report *RunReport
-	sink   func([]byte) error
-	parsed int
-	buffer []byte
+	conn        *Conn
+	plan        plan
+	report      *RunReport
+	sink        func([]byte) error
+	parsedCount int // count of plan.parses that were answered or skipped
+	buffer      []byte
 }
 
 func (r *answerReader) readAll() error {
 	for {
-		if err := r.emitMade(); err != nil {
+		if err := r.emitLocal(); err != nil {
 			return err
 		}
 		if len(r.plan.expected) == 0 {
@@ -240,26 +241,26 @@
 		if err != nil {
 			return errors.Wrap(err, "receive answer")
 		}
-		if err := r.take(message); err != nil {
+		if err := r.handle(message); err != nil {
 			return err
 		}
 	}
 }
 
-// emitMade answers for messages that were not sent to the server.
-func (r *answerReader) emitMade() error {
+// emitLocal answers messages that were not sent to the server.
+func (r *answerReader) emitLocal() error {
 	for len(r.plan.expected) > 0 {
-		var made pgproto3.BackendMessage
+		var answer pgproto3.BackendMessage
 		switch r.plan.expected[0] {
-		case madeParseComplete:
-			made = &pgproto3.ParseComplete{}
-		case madeCloseComplete:
-			made = &pgproto3.CloseComplete{}
+		case localParseComplete:
+			answer = &pgproto3.ParseComplete{}
+		case localCloseComplete:
+			answer = &pgproto3.CloseComplete{}
 		default:
 			return nil
 		}
 		r.pop()
-		if err := r.emit(made); err != nil {
+		if err := r.emit(answer); err != nil {
 			return err
 		}
 	}
@@ -281,11 +282,11 @@
 	return r.sink(encoded)
 }
 
-func (r *answerReader) take(message pgproto3.BackendMessage) error {
+func (r *answerReader) handle(message pgproto3.BackendMessage) error {
 	head := r.plan.expected[0]
 	switch typed := message.(type) {
 	case *pgproto3.ParseComplete:
-		return r.parseComplete()
+		return r.handleParseComplete()
 	case *pgproto3.RowDescription, *pgproto3.NoData:
 		if head == expectDescribe {
 			r.pop()
@@ -293,33 +294,33 @@
 	case *pgproto3.BindComplete, *pgproto3.CloseComplete:
 		r.pop()
 	case *pgproto3.CommandComplete, *pgproto3.EmptyQueryResponse, *pgproto3.PortalSuspended:
-		r.report.SawCommand = true
+		r.report.CommandCompleted = true
 		if head == expectExecute {
 			r.pop()
 		}
 	case *pgproto3.ErrorResponse:
-		r.failed(typed)
+		r.handleError(typed)
 	case *pgproto3.ReadyForQuery:
-		return r.ready(typed)
+		return r.handleReady(typed)
 	case *pgproto3.ParameterStatus, *pgproto3.NotificationResponse:
 		return nil
 	case *pgproto3.CopyInResponse, *pgproto3.CopyOutResponse, *pgproto3.CopyBothResponse:
-		return errors.New("the server began COPY, which pooled connections do not carry")
+		return errors.New("the server began COPY, which is not supported on pooled connections")
 	}
 	return r.emit(message)
 }
 
-func (r *answerReader) parseComplete() error {
-	r.conn.prepared[r.plan.parses[r.parsed]] = struct{}{}
-	r.parsed++
+func (r *answerReader) handleParseComplete() error {
+	r.conn.prepared[r.plan.parses[r.parsedCount]] = struct{}{}
+	r.parsedCount++
 	if r.pop() == expectSilentParse {
 		return nil
 	}
 	return r.emit(&pgproto3.ParseComplete{})
 }
 
-// failed notes an error; the server skips everything up to the next Sync.
-func (r *answerReader) failed(message *pgproto3.ErrorResponse) {
+// handleError records an error. The server skips all messages up to the next Sync.
+func (r *answerReader) handleError(message *pgproto3.ErrorResponse) {
 	if r.report.FirstError == "" {
 		r.report.FirstError = message.Code
 	}
@@ -329,16 +330,16 @@
 			return
 		}
 		if head == expectParse || head == expectSilentParse {
-			r.parsed++
+			r.parsedCount++
 		}
 		r.pop()
 	}
 }
 
-func (r *answerReader) ready(message *pgproto3.ReadyForQuery) error {
+func (r *answerReader) handleReady(message *pgproto3.ReadyForQuery) error {
 	head := r.pop()
 	if head != expectSync && head != expectQuery {
-		return errors.New("the server became ready while an answer was outstanding")
+		return errors.New("the server sent ReadyForQuery while other answers were outstanding")
 	}
 	r.report.Status = message.TxStatus
 	r.report.Synced = true
--- a/internal/postgres/backend/pool.go
+++ b/internal/postgres/backend/pool.go
@@ -6,23 +6,22 @@
 	"time"
 )
 
-// dialTimeout bounds setting up a connection.
+// dialTimeout is the timeout of connecting and authenticating.
 const dialTimeout = 3 * time.Second
 
-// idleTimeout is after how long an unused connection is closed.
+// idleTimeout is the time after which an unused connection is closed.
 const idleTimeout = 60 * time.Second
 
-// Pool holds the connections to one server. How many there may be is decided by
-// the group's machine, which counts runs and transactions; the pool itself only
-// refuses to grow past its hard limit.
+// Pool holds the connections to one server. It is safe for concurrent use. It has no limit
+// of its own: the group's machine limits the connections by counting runs and transactions.
 type Pool struct {
 	address Address
 	mu      sync.Mutex
 	idle    []*Conn
 	all     map[*Conn]struct{}
 	dialed  uint64
-	// generation grows when all connections are dropped: a connection dialed
-	// before then is not kept.
+	// generation is incremented when all connections are closed. Connections whose dialing
+	// began in an earlier generation are closed, too.
 	generation uint64
 }
 
@@ -58,12 +57,12 @@
 	return conn, nil
 }
 
-// Release returns a clean connection.
+// Release returns a clean connection to the pool.
 func (p *Pool) Release(conn *Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	_, known := p.all[conn]
-	if !known || len(conn.prepared) > maxPrepared {
+	_, inPool := p.all[conn]
+	if !inPool || len(conn.prepared) > maxPrepared {
 		p.discard(conn)
 		return
 	}
@@ -71,7 +70,7 @@
 	p.idle = append(p.idle, conn)
 }
 
-// Discard closes a connection that is in doubt.
+// Discard closes a connection that may not be clean.
 func (p *Pool) Discard(conn *Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -83,7 +82,7 @@
 	delete(p.all, conn)
 }
 
-// CloseAll closes every connection, those in use included.
+// CloseAll closes all connections, including those in use.
 func (p *Pool) CloseAll() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -95,7 +94,7 @@
 	p.generation++
 }
 
-// Trim closes connections that have been idle for long.
+// Trim closes connections that have been idle for longer than idleTimeout.
 func (p *Pool) Trim() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -110,7 +109,7 @@
 	p.idle = kept
 }
 
-// Stats returns how many connections are open, idle and were ever dialed.
+// Stats returns the numbers of open and idle connections, and of all connections ever dialed.
 func (p *Pool) Stats() (open, idle int, dialed uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/postgres/owner/server.go
+++ b/internal/postgres/owner/server.go
@@ -283,7 +283,7 @@
 func (s *Server) completed(current *call, instruction group.Run, conn *backend.Conn, report backend.RunReport) group.RunResult {
 	info := current.request.Info
 	open := !report.Synced || report.Status != backend.Idle
-	mustWrite := report.FirstError == codeReadOnly && info.ReadOnly && !instruction.Pinned && !current.passedOn && !report.SawCommand && !open
+	mustWrite := report.FirstError == codeReadOnly && info.ReadOnly && !instruction.Pinned && !current.passedOn && !report.CommandCompleted && !open
 	if mustWrite {
 		s.giveBack(instruction, conn, true)
 		return group.RunResult{Outcome: group.MustWrite}
@@ -296,7 +296,7 @@
 	}
 	return group.RunResult{
 		Outcome: group.Completed, TransactionOpen: open,
-		Wrote: info.MayCommit && !open && (report.SawCommand || report.FirstError == ""), Position: report.Position,
+		Wrote: info.MayCommit && !open && (report.CommandCompleted || report.FirstError == ""), Position: report.Position,
 	}
 }
 
