--- a/internal/postgres/statement/classify.go
+++ b/internal/postgres/statement/classify.go
@@ -5,10 +5,10 @@
 	"strings"
 )
 
-// Control says how a statement bears on the transaction around it.
+// Control is the effect of a statement on the surrounding transaction.
 type Control uint8
 
-// The forms of transaction control.
+// Kinds of transaction control.
 const (
 	NoControl Control = iota
 	Begin
@@ -26,29 +26,29 @@
 	Value string
 }
 
-// Info is what the classifier found in one message of SQL text.
+// Info is the classification of one message of SQL text.
 type Info struct {
-	// ReadOnly is true when every statement is known to be a plain read.
+	// ReadOnly is true if every statement is known to be a plain read.
 	ReadOnly bool
-	// Control is the control of the first statement.
+	// Control is the transaction control of the first statement.
 	Control Control
-	// MayCommit is true when some statement could end a transaction with a commit.
+	// MayCommit is true if a statement could commit a transaction.
 	MayCommit bool
-	// Empty is true when the text holds no statement.
+	// Empty is true if the text has no statement.
 	Empty bool
-	// Unsupported names the feature that pooling cannot carry; empty if none.
+	// Unsupported names a feature of the text that pooled connections cannot support; empty if none.
 	Unsupported string
 	// Kind is the request kind named in a comment, as in /*kind='seat_booking'*/.
 	Kind string
-	// Parameter is set when the text is one SET or SHOW of a dewknot parameter.
+	// Parameter is set if the text is one SET or SHOW of a dewknot parameter.
 	Parameter *Parameter
 }
 
-// parameterPrefix starts the names of the parameters that the node handles.
+// parameterPrefix is the prefix of the parameters that the node handles itself.
 const parameterPrefix = "dewknot."
 
-// pureFunctions are functions known to have no side effect. A call of any
-// other function makes its statement count as a write.
+// pureFunctions are functions without side effects, and keywords that may precede a
+// parenthesis. A statement that calls any other function is classified as a write.
 var pureFunctions = wordSet(`ABS AVG BOOL_AND BOOL_OR BTRIM CAST CEIL CEILING CHAR_LENGTH COALESCE CONCAT COUNT
 	DATE DATE_PART DATE_TRUNC EXISTS EXTRACT FLOOR GREATEST IN LEAST LEFT LENGTH LOWER LPAD LTRIM MAX MIN MOD NOW
 	NULLIF OVER POSITION POWER RANK REPLACE RIGHT ROUND ROW ROW_NUMBER RPAD RTRIM SPLIT_PART SQRT STRPOS SUBSTR
@@ -56,13 +56,14 @@
 	FILTER JSON_AGG JSONB_AGG GENERATE_SERIES UNNEST VERSION AND OR NOT AS ON WHERE FROM SELECT JOIN USING BY
 	THEN ELSE WHEN CASE UNION EXCEPT INTERSECT HAVING LIKE BETWEEN DISTINCT LIMIT OFFSET WITH IS MATERIALIZED`)
 
-// writeWords make a statement that starts like a read a write all the same.
+// writeWords mark a statement as a write even if it begins like a read.
 var writeWords = wordSet(`INSERT UPDATE DELETE MERGE INTO NEXTVAL SETVAL`)
 
-// lockWords follow FOR in locking reads.
+// lockWords are the words that follow FOR in locking reads.
 var lockWords = wordSet(`UPDATE SHARE NO KEY`)
 
-// sessionStatements need one back-end connection for longer than a transaction.
+// sessionStatements are statements that need the same back-end connection beyond a
+// transaction, with the names of their features.
 var sessionStatements = map[string]string{
 	"LISTEN": "LISTEN", "UNLISTEN": "UNLISTEN", "NOTIFY": "NOTIFY", "COPY": "COPY", "LOAD": "LOAD",
 	"PREPARE": "SQL-level PREPARE", "EXECUTE": "SQL-level EXECUTE", "DEALLOCATE": "DEALLOCATE",
@@ -78,7 +79,7 @@
 	return set
 }
 
-// Classify examines one message of SQL text, which may hold several statements.
+// Classify classifies one message of SQL text, which may have several statements.
 func Classify(sql string) Info {
 	scan := &scanner{text: sql}
 	info := Info{ReadOnly: true}
@@ -86,7 +87,7 @@
 	for {
 		words, more := nextStatement(scan)
 		if len(words) > 0 {
-			classifyOne(words, count == 0, &info)
+			classifyStatement(words, count == 0, &info)
 			count++
 		}
 		if !more {
@@ -104,7 +105,7 @@
 	return info
 }
 
-// nextStatement collects tokens up to a semicolon; more is false at the end.
+// nextStatement returns the tokens up to the next semicolon; more is false at the end of the text.
 func nextStatement(scan *scanner) (tokens []token, more bool) {
 	for {
 		next, ok := scan.next()
@@ -118,7 +119,7 @@
 	}
 }
 
-func classifyOne(tokens []token, first bool, info *Info) {
+func classifyStatement(tokens []token, first bool, info *Info) {
 	control, mayCommit := transactionControl(tokens)
 	if control == Begin && info.MayCommit {
 		info.Unsupported = "BEGIN after COMMIT in one message"
@@ -149,7 +150,7 @@
 	}
 }
 
-// isReadOnlyBegin recognises BEGIN READ ONLY, which a replica can serve.
+// isReadOnlyBegin recognises BEGIN READ ONLY, which a replica can run.
 func isReadOnlyBegin(tokens []token, control Control) bool {
 	return control == Begin && containsWord(tokens, "ONLY") && !containsWord(tokens, "WRITE")
 }
@@ -173,24 +174,24 @@
 		if writeWords[current.text] {
 			return false
 		}
-		follows := index+1 < len(tokens)
-		if follows && current.text == "FOR" && lockWords[tokens[index+1].text] {
+		hasNext := index+1 < len(tokens)
+		if hasNext && current.text == "FOR" && lockWords[tokens[index+1].text] {
 			return false
 		}
-		if follows && tokens[index+1].text == "(" && !pureFunctions[current.text] && !isTableAlias(tokens, index) {
+		if hasNext && tokens[index+1].text == "(" && !pureFunctions[current.text] && !isTableAlias(tokens, index) {
 			return false
 		}
 	}
 	return true
 }
 
-// isTableAlias recognises "WITH [RECURSIVE] name (columns)", where name is no function.
+// isTableAlias recognises "WITH [RECURSIVE] name (columns)", where name isn't a function.
 func isTableAlias(tokens []token, index int) bool {
 	if index == 0 {
 		return false
 	}
-	before := tokens[index-1].text
-	return before == "WITH" || before == "RECURSIVE" && index > 1 && tokens[index-2].text == "WITH"
+	previous := tokens[index-1].text
+	return previous == "WITH" || previous == "RECURSIVE" && index > 1 && tokens[index-2].text == "WITH"
 }
 
 func unsupported(tokens []token) string {
@@ -203,13 +204,15 @@
 		second = tokens[1].text
 	}
 	switch {
-	case (head == "COMMIT" || head == "END" || head == "ROLLBACK") && containsWord(tokens, "CHAIN") && !containsWord(tokens, "NO"):
+	case (head == "COMMIT" || head == "END" || head == "ROLLBACK") &&
+		containsWord(tokens, "CHAIN") && !containsWord(tokens, "NO"):
 		return "AND CHAIN"
 	case head == "SET" && second != "LOCAL" && second != "TRANSACTION":
 		return "session-level SET"
 	case head == "RESET":
 		return "RESET"
-	case head == "CREATE" && (containsWord(tokens[:min(5, len(tokens))], "TEMP") || containsWord(tokens[:min(5, len(tokens))], "TEMPORARY")):
+	case head == "CREATE" && (containsWord(tokens[:min(5, len(tokens))], "TEMP") ||
+		containsWord(tokens[:min(5, len(tokens))], "TEMPORARY")):
 		return "temporary tables"
 	case head == "COMMIT" && second == "PREPARED", head == "ROLLBACK" && second == "PREPARED":
 		return "two-phase commit"
@@ -236,7 +239,7 @@
 	return false
 }
 
-// kindFromComments reads the request kind from sqlcommenter comments
+// kindFromComments returns the request kind given in sqlcommenter comments
 // (https://google.github.io/sqlcommenter/spec/): key='url-encoded value', ....
 func kindFromComments(comments []string) string {
 	for _, comment := range comments {
@@ -255,6 +258,7 @@
 }
 
 // dewknotParameter recognises SET dewknot.x = 'v', SET dewknot.x TO v and SHOW dewknot.x.
+// It returns nil for other statements.
 func dewknotParameter(sql string) *Parameter {
 	text := strings.TrimSpace(strings.TrimSuffix(strings.TrimSpace(sql), ";"))
 	verb, rest := cutWord(text)
--- a/internal/postgres/statement/classify_test.go
+++ b/internal/postgres/statement/classify_test.go
@@ -51,7 +51,8 @@
 	}
 }
 
-// A statement that holds a write word outside literals and comments is never a read.
+// Guards against writes that are classified as reads because of the literals, comments and
+// quoted names around them.
 func TestWritesAreNeverReads(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		noise := rapid.SampledFrom([]string{"'a'", "/* x */", "-- y\n", "\"q\"", "$$z$$", "1", "E'\\''", "$1"})
@@ -67,7 +68,7 @@
 			sql += part + " "
 		}
 		if Classify(sql).ReadOnly {
-			t.Fatalf("%q counted as a read", sql)
+			t.Fatalf("%q was classified as a read", sql)
 		}
 	})
 }
--- a/internal/postgres/statement/scan.go
+++ b/internal/postgres/statement/scan.go
@@ -1,17 +1,18 @@
-// Package statement classifies SQL text just far enough to route it.
+// Package statement classifies SQL text for routing.
 //
-// It does not parse SQL. A scanner skips comments, literals and quoted names
-// and yields words; from these the classifier derives whether a statement may
-// write, whether it controls a transaction, and whether pooling can carry it.
-// Whatever is not known to be a plain read counts as a write: a wrong guess then
-// costs a trip to the primary and never a wrong answer.
+// It does not parse SQL. A scanner splits the text into words and skips comments, literals
+// and quoted names. From the words the classifier derives whether a statement may write,
+// whether it begins or ends a transaction, and whether pooled connections support it.
+// A statement that is not known to be a plain read is classified as a write, so that a
+// misclassification costs a round trip to the primary but never gives a wrong result.
 package statement
 
 import (
 	"strings"
 )
 
-// token is a word, number or single punctuation byte of the SQL text.
+// token is a word, number or punctuation byte of the SQL text. The text of a literal or a
+// quoted name is only its quote.
 type token struct {
 	text string // upper case for words
 	word bool
@@ -20,25 +21,25 @@
 // scanner yields tokens and collects comments.
 type scanner struct {
 	text     string
-	at       int
+	offset   int // byte offset of the next token
 	comments []string
 }
 
-func (s *scanner) peekIs(prefix string) bool { return strings.HasPrefix(s.text[s.at:], prefix) }
+func (s *scanner) peekIs(prefix string) bool { return strings.HasPrefix(s.text[s.offset:], prefix) }
 
 // next returns the next token; ok is false at the end of the text.
 func (s *scanner) next() (token, bool) {
-	for s.at < len(s.text) {
-		char := s.text[s.at]
+	for s.offset < len(s.text) {
+		char := s.text[s.offset]
 		switch {
 		case char == ' ' || char == '\t' || char == '\n' || char == '\r' || char == '\f':
-			s.at++
+			s.offset++
 		case s.peekIs("--"):
 			s.skipLineComment()
 		case s.peekIs("/*"):
 			s.skipBlockComment()
 		case char == '\'':
-			s.skipQuoted('\'', s.escapeStringBefore())
+			s.skipQuoted('\'', s.isEscapeString())
 			return token{text: "'"}, true
 		case char == '"':
 			s.skipQuoted('"', false)
@@ -48,7 +49,7 @@
 		case isWordByte(char):
 			return s.word(), true
 		default:
-			s.at++
+			s.offset++
 			return token{text: string(char)}, true
 		}
 	}
@@ -56,89 +57,89 @@
 }
 
 func (s *scanner) skipLineComment() {
-	end := strings.IndexByte(s.text[s.at:], '\n')
+	end := strings.IndexByte(s.text[s.offset:], '\n')
 	if end < 0 {
-		end = len(s.text) - s.at
+		end = len(s.text) - s.offset
 	}
-	s.comments = append(s.comments, s.text[s.at+2:s.at+end])
-	s.at += end
+	s.comments = append(s.comments, s.text[s.offset+2:s.offset+end])
+	s.offset += end
 }
 
 // skipBlockComment skips a comment; PostgreSQL block comments nest.
 func (s *scanner) skipBlockComment() {
-	start := s.at + 2
+	start := s.offset + 2
 	depth := 0
-	for s.at < len(s.text) {
+	for s.offset < len(s.text) {
 		switch {
 		case s.peekIs("/*"):
 			depth++
-			s.at += 2
+			s.offset += 2
 		case s.peekIs("*/"):
 			depth--
-			s.at += 2
+			s.offset += 2
 			if depth == 0 {
-				s.comments = append(s.comments, s.text[start:s.at-2])
+				s.comments = append(s.comments, s.text[start:s.offset-2])
 				return
 			}
 		default:
-			s.at++
+			s.offset++
 		}
 	}
 }
 
-// escapeStringBefore reports whether the literal at s.at is an E'...' string.
-func (s *scanner) escapeStringBefore() bool {
-	if s.at == 0 || (s.text[s.at-1] != 'e' && s.text[s.at-1] != 'E') {
+// isEscapeString reports whether the literal at s.offset is an E'...' string.
+func (s *scanner) isEscapeString() bool {
+	if s.offset == 0 || (s.text[s.offset-1] != 'e' && s.text[s.offset-1] != 'E') {
 		return false
 	}
-	return s.at == 1 || !isWordByte(s.text[s.at-2])
+	return s.offset == 1 || !isWordByte(s.text[s.offset-2])
 }
 
 func (s *scanner) skipQuoted(quote byte, backslash bool) {
-	s.at++
-	for s.at < len(s.text) {
-		char := s.text[s.at]
-		s.at++
+	s.offset++
+	for s.offset < len(s.text) {
+		char := s.text[s.offset]
+		s.offset++
 		switch {
 		case backslash && char == '\\':
-			s.at++
-		case char == quote && s.at < len(s.text) && s.text[s.at] == quote:
-			s.at++
+			s.offset++
+		case char == quote && s.offset < len(s.text) && s.text[s.offset] == quote:
+			s.offset++
 		case char == quote:
 			return
 		}
 	}
-	s.at = min(s.at, len(s.text))
+	s.offset = min(s.offset, len(s.text))
 }
 
 // dollar reads a parameter ($1) or skips a dollar-quoted string ($tag$...$tag$).
 func (s *scanner) dollar() token {
-	end := s.at + 1
+	end := s.offset + 1
 	for end < len(s.text) && isWordByte(s.text[end]) {
 		end++
 	}
-	isTag := end < len(s.text) && s.text[end] == '$' && (end == s.at+1 || !isDigit(s.text[s.at+1]))
+	isTag := end < len(s.text) && s.text[end] == '$' && (end == s.offset+1 || !isDigit(s.text[s.offset+1]))
 	if !isTag {
-		text := s.text[s.at:end]
-		s.at = end
+		text := s.text[s.offset:end]
+		s.offset = end
 		return token{text: text}
 	}
-	tag := s.text[s.at : end+1]
+	tag := s.text[s.offset : end+1]
 	closing := strings.Index(s.text[end+1:], tag)
 	if closing < 0 {
-		s.at = len(s.text)
+		s.offset = len(s.text)
 	} else {
-		s.at = end + 1 + closing + len(tag)
+		s.offset = end + 1 + closing + len(tag)
 	}
 	return token{text: "'"}
 }
 
 func (s *scanner) word() token {
-	start := s.at
-	for s.at < len(s.text) && isWordByte(s.text[s.at]) {
-		s.at++
+	start := s.offset
+	for s.offset < len(s.text) && isWordByte(s.text[s.offset]) {
+		s.offset++
 	}
-	return token{text: strings.ToUpper(s.text[start:s.at]), word: true}
+	return token{text: strings.ToUpper(s.text[start:s.offset]), word: true}
 }
 
 func isDigit(char byte) bool { return char >= '0' && char <= '9' }
