--- a/internal/postgres/credential/scram.go
+++ b/internal/postgres/credential/scram.go
@@ -14,10 +14,10 @@
 	"github.com/xdg-go/scram"
 )
 
-// Mechanism is the name of the mechanism in the protocol.
+// Mechanism is the name of the SASL mechanism.
 const Mechanism = "SCRAM-SHA-256"
 
-// Parameters of new verifiers (PostgreSQL's defaults).
+// Parameters of new verifiers; these are PostgreSQL's defaults.
 const (
 	iterations = 4096
 	saltBytes  = 16
@@ -36,19 +36,21 @@
 		return "", errors.Wrap(err, "derive verifier")
 	}
 	encode := base64.StdEncoding.EncodeToString
-	return fmt.Sprintf("%s$%d:%s$%s:%s", Mechanism, iterations, encode(salt), encode(stored.StoredKey), encode(stored.ServerKey)), nil
+	return fmt.Sprintf(
+		"%s$%d:%s$%s:%s", Mechanism, iterations, encode(salt), encode(stored.StoredKey), encode(stored.ServerKey),
+	), nil
 }
 
-// ParseVerifier reads a verifier.
+// ParseVerifier parses a verifier.
 func ParseVerifier(text string) (scram.StoredCredentials, error) {
 	stored := scram.StoredCredentials{}
 	parts := strings.Split(text, "$")
 	if len(parts) != 3 || parts[0] != Mechanism {
 		return stored, errors.New("a verifier must have the form SCRAM-SHA-256$iterations:salt$storedkey:serverkey")
 	}
-	count, salt, _ := strings.Cut(parts[1], ":")
+	iterationText, salt, _ := strings.Cut(parts[1], ":")
 	storedKey, serverKey, _ := strings.Cut(parts[2], ":")
-	iterationCount, err := strconv.Atoi(count)
+	iterationCount, err := strconv.Atoi(iterationText)
 	if err != nil {
 		return stored, errors.Wrap(err, "iterations of verifier")
 	}
@@ -63,13 +65,13 @@
 	return stored, nil
 }
 
-// Conversation is one authentication exchange on the server's side.
+// Conversation is the server side of one authentication exchange.
 type Conversation struct {
-	inner *scram.ServerConversation
+	exchange *scram.ServerConversation
 }
 
-// NewConversation begins an exchange against a verifier. PostgreSQL clients send
-// an empty user name inside the exchange, so the name is not compared here.
+// NewConversation begins an exchange that verifies a password against a verifier. It
+// ignores the user name in the exchange, because PostgreSQL clients leave it empty.
 func NewConversation(verifier string) (*Conversation, error) {
 	stored, err := ParseVerifier(verifier)
 	if err != nil {
@@ -79,14 +81,14 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "start authentication")
 	}
-	return &Conversation{inner: server.NewConversation()}, nil
+	return &Conversation{exchange: server.NewConversation()}, nil
 }
 
-// Step answers a client's message.
+// Step returns the answer to a client's message.
 func (c *Conversation) Step(message string) (string, error) {
-	answer, err := c.inner.Step(message)
+	answer, err := c.exchange.Step(message)
 	return answer, errors.Wrap(err, "authentication exchange")
 }
 
-// Valid reports whether the client has proved the password.
-func (c *Conversation) Valid() bool { return c.inner.Valid() }
+// Valid reports whether the client has proved that it has the password.
+func (c *Conversation) Valid() bool { return c.exchange.Valid() }
