--- a/internal/postgres/pause/pause.go
+++ b/internal/postgres/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause waits in a way that a context can end.
+// Package pause provides a sleep that ends early when a context is done.
 package pause
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For waits for a duration; it reports false when the context ended first.
+// For sleeps for the duration. It reports false if the context was done first.
 func For(ctx context.Context, duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
