--- a/internal/postgres/backend/batch.go
+++ b/internal/postgres/backend/batch.go
@@ -89,7 +89,7 @@
 		}
 		size := int(binary.BigEndian.Uint32(rest[1:])) + 1
 		if size < headerBytes || size > len(rest) {
-			return plan{}, errors.Errorf("batch holds a message of length %d", size)
+			return plan{}, errors.Errorf("batch has a message of invalid length %d", size)
 		}
 		if err := builder.add(rest[0], rest[:size]); err != nil {
 			return plan{}, err
--- a/internal/postgres/owner/groups.go
+++ b/internal/postgres/owner/groups.go
@@ -16,7 +16,7 @@
 	"dewknot/internal/postgres/request"
 )
 
-// Counters count what owners answered; they are read by the metrics page.
+// Counters count the requests answered by this node as owner or stand-by, for metrics.
 type Counters struct {
 	// ReadsByReplica and ReadsByPrimary count answered reads.
 	ReadsByReplica atomic.Uint64
@@ -38,7 +38,7 @@
 	}
 }
 
-// Failures returns the count of each kind of failure that occurred.
+// Failures returns the number of failures of each kind that occurred.
 func (c *Counters) Failures() map[failure.Kind]uint64 {
 	counts := map[failure.Kind]uint64{}
 	for kind := range c.failures {
@@ -49,48 +49,51 @@
 	return counts
 }
 
-// drainPatience is how long a group that moved away keeps its open transactions.
-const drainPatience = 30 * time.Second
+// drainTimeout is the time after which a group that this node no longer serves is closed
+// with its open transactions.
+const drainTimeout = 30 * time.Second
 
-// standbyIdle is how long a stand-by keeps a group that nobody asks for.
-const standbyIdle = 60 * time.Second
+// standbyIdleTimeout is the time without requests after which a stand-by closes a group.
+const standbyIdleTimeout = 60 * time.Second
 
-type holding struct {
+// servedGroup is a group that this node serves as owner or stand-by, or that drains.
+type servedGroup struct {
 	server *Server
-	// config is compared to notice changes.
-	config   *configuration.Group
-	owned    bool
-	lastUsed atomic.Int64 // seconds since the epoch
-	since    time.Time    // when it stopped being owned
+	// config is the configuration with which server was created.
+	config    *configuration.Group
+	accepting bool         // false while the group drains
+	lastUsed  atomic.Int64 // Unix time in seconds
+	changedAt time.Time    // when accepting last changed
 }
 
-// Groups serves all groups of this node; it implements request.Server.
+// Groups serves all groups of this node. It implements request.Server and is safe for
+// concurrent use.
 type Groups struct {
 	log      *zap.Logger
 	settings group.Settings
 	counters *Counters
 	view     atomic.Pointer[core.View]
 	mu       sync.RWMutex
-	held     map[string]*holding
-	closed   bool
-	// freshUntil is when knowledge of marks stops being recent.
+	served   map[string]*servedGroup
+	closed   bool // no group is added any more
+	// freshUntil is the time until which the view is recent enough to begin new work.
 	freshUntil atomic.Pointer[time.Time]
 }
 
-// NewGroups returns a node's owner part without any group.
+// NewGroups returns a Groups without any group.
 func NewGroups(settings group.Settings, log *zap.Logger, counters *Counters) *Groups {
-	return &Groups{log: log, settings: settings, counters: counters, held: map[string]*holding{}}
+	return &Groups{log: log, settings: settings, counters: counters, served: map[string]*servedGroup{}}
 }
 
-// SetFresh tells for how long this node may begin new work. The marks of the view
-// in force are applied first: knowledge is fresh only once it is acted on.
+// SetFresh sets for how long this node may begin new work. The marks of leaving servers in
+// the current view are applied first, so that no new work begins on such a server.
 func (g *Groups) SetFresh(remaining time.Duration) {
 	until := time.Now().Add(remaining)
 	g.freshUntil.Store(&until)
 	g.mu.RLock()
 	defer g.mu.RUnlock()
 	view := g.view.Load()
-	for _, current := range g.held {
+	for _, current := range g.served {
 		if view != nil {
 			g.markLeaving(view, current)
 		}
@@ -98,11 +101,11 @@
 	}
 }
 
-// SetView puts a new view in force for requests that arrive from now on.
+// SetView sets the view for requests that arrive from now on.
 func (g *Groups) SetView(view *core.View) { g.view.Store(view) }
 
-// Update follows the view: groups are taken over, let go or marked. It is called
-// regularly, so that what has drained is let go as well.
+// Update applies the current view: it adds groups, drains and closes others, and marks leaving
+// servers. It must be called regularly, because it also closes groups that have drained.
 func (g *Groups) Update() {
 	view := g.view.Load()
 	if view == nil || !view.Ready {
@@ -112,34 +115,39 @@
 	defer g.mu.Unlock()
 	for name := range view.Config.Groups {
 		owners := view.Owners(name)
-		if len(owners) > 0 && owners[0] == view.Self.ID && g.held[name] == nil && !g.closed {
-			g.hold(view, name)
+		if len(owners) > 0 && owners[0] == view.Self.ID && g.served[name] == nil && !g.closed {
+			g.add(view, name)
 		}
 	}
-	for name, current := range g.held {
+	for name, current := range g.served {
 		g.updateOne(view, name, current)
 	}
 }
 
-func (g *Groups) hold(view *core.View, name string) *holding {
+func (g *Groups) add(view *core.View, name string) *servedGroup {
 	config := view.Config.Groups[name]
-	settings := g.limits(config, isFirst(view, name))
-	created := &holding{config: config, owned: true, server: NewServer(config, settings, g.log, g.counters)}
+	settings := g.limits(config, isOwner(view, name))
+	created := &servedGroup{
+		config: config, accepting: true, server: NewServer(config, settings, g.log, g.counters),
+	}
 	created.touch()
 	if until := g.freshUntil.Load(); until != nil {
 		created.server.SetFresh(*until)
 	}
-	g.held[name] = created
+	g.served[name] = created
 	g.markLeaving(view, created)
-	g.log.Info("owner: serving group", zap.String("group", name), zap.Int("slots", settings.Slots), zap.Int("connections", settings.Connections))
+	g.log.Info("owner: serving group", zap.String("group", name), zap.Int("slots", settings.Slots),
+		zap.Int("connections", settings.Connections))
 	return created
 }
 
-func (h *holding) touch() { h.lastUsed.Store(time.Now().Unix()) }
+// touch marks the group as used now.
+func (s *servedGroup) touch() { s.lastUsed.Store(time.Now().Unix()) }
 
-// limits divides a server's limits between owner and stand-by. Two nodes may
-// both believe to be the owner for a while; the server's own limit then holds.
-func (g *Groups) limits(config *configuration.Group, first bool) group.Settings {
+// limits returns settings with this node's share of a server's limits, which are divided
+// between owner and stand-by. If two nodes have different views, both may act as the owner
+// for a while; then only the server's own limit applies.
+func (g *Groups) limits(config *configuration.Group, asOwner bool) group.Settings {
 	const (
 		statusConnections = 2 // one each for owner and stand-by
 		standbyDivisor    = 5
@@ -148,7 +156,7 @@
 	settings.Servers = len(config.Servers)
 	usable := config.Connections - statusConnections
 	standby := max(usable/standbyDivisor, 1)
-	if first {
+	if asOwner {
 		settings.Slots, settings.Connections = config.Slots, usable-standby
 	} else {
 		settings.Slots, settings.Connections = max(config.Slots/standbyDivisor, 1), standby
@@ -156,7 +164,7 @@
 	return settings
 }
 
-func isFirst(view *core.View, name string) bool {
+func isOwner(view *core.View, name string) bool {
 	owners := view.Owners(name)
 	return len(owners) > 0 && owners[0] == view.Self.ID
 }
@@ -170,54 +178,54 @@
 	return false
 }
 
-func (g *Groups) updateOne(view *core.View, name string, current *holding) {
+func (g *Groups) updateOne(view *core.View, name string, current *servedGroup) {
 	config := view.Config.Groups[name]
 	serve := config != nil && mayServe(view, name)
 	changed := config != nil && config != current.config && !reflect.DeepEqual(config, current.config)
 	if changed {
-		serve = false // let it drain; the next request makes a new one
+		serve = false // it drains and is then replaced by one with the new configuration
 	}
-	if serve != current.owned {
-		current.owned = serve
-		current.since = time.Now()
+	if serve != current.accepting {
+		current.accepting = serve
+		current.changedAt = time.Now()
 		current.server.SetAccepting(serve)
 	}
 	g.markLeaving(view, current)
 	if serve && !changed {
-		settings := g.limits(config, isFirst(view, name))
+		settings := g.limits(config, isOwner(view, name))
 		current.server.SetLimits(settings.Slots, settings.Connections)
 	}
-	if g.finished(view, name, current) {
-		delete(g.held, name)
+	if g.removable(view, name, current) {
+		delete(g.served, name)
 		go current.server.Close()
 		if changed && !g.closed && mayServe(view, name) {
-			g.hold(view, name)
+			g.add(view, name)
 		}
 	}
 }
 
-// finished reports whether a group may be let go.
-func (g *Groups) finished(view *core.View, name string, current *holding) bool {
+// removable reports whether a group may be closed and removed.
+func (g *Groups) removable(view *core.View, name string, current *servedGroup) bool {
 	status := current.server.Status()
 	idle := status.InProgress == 0 && status.OpenTransactions == 0
-	if current.owned {
-		unused := time.Now().Unix()-current.lastUsed.Load() > int64(standbyIdle/time.Second)
-		return idle && unused && !isFirst(view, name)
+	if current.accepting {
+		unused := time.Now().Unix()-current.lastUsed.Load() > int64(standbyIdleTimeout/time.Second)
+		return idle && unused && !isOwner(view, name)
 	}
-	return idle || time.Since(current.since) > drainPatience
+	return idle || time.Since(current.changedAt) > drainTimeout
 }
 
-func (g *Groups) markLeaving(view *core.View, current *holding) {
+func (g *Groups) markLeaving(view *core.View, current *servedGroup) {
 	for index, server := range current.config.Servers {
 		current.server.SetLeaving(index, view.Config.LeavingServers[current.config.Name+"/"+server.Address])
 	}
 }
 
-// find returns the holding for a group, taking the group on if this node is its
-// owner or stand-by.
-func (g *Groups) find(name string) *holding {
+// findOrAdd returns a served group. It adds the group if this node is its owner or stand-by,
+// and returns nil otherwise.
+func (g *Groups) findOrAdd(name string) *servedGroup {
 	g.mu.RLock()
-	found := g.held[name]
+	found := g.served[name]
 	g.mu.RUnlock()
 	if found != nil {
 		return found
@@ -228,20 +236,22 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.held[name] == nil && !g.closed {
-		return g.hold(view, name)
+	if g.served[name] == nil && !g.closed {
+		return g.add(view, name)
 	}
-	return g.held[name]
+	return g.served[name]
 }
 
-// notOwnerRetry is what a listener is told whose view differs.
-const notOwnerRetry = 100 * time.Millisecond
+// notOwnerRetryAfter is the retry delay for a listener whose view has other owners.
+const notOwnerRetryAfter = 100 * time.Millisecond
 
 // Submit implements request.Server.
-func (g *Groups) Submit(ctx context.Context, submitted *request.Request, chunk func([]byte) error) (request.Result, error) {
-	found := g.find(submitted.Group)
+func (g *Groups) Submit(
+	ctx context.Context, submitted *request.Request, chunk func([]byte) error,
+) (request.Result, error) {
+	found := g.findOrAdd(submitted.Group)
 	if found == nil {
-		return request.Failed(failure.NotOwner, "", notOwnerRetry), nil
+		return request.Failed(failure.NotOwner, "", notOwnerRetryAfter), nil
 	}
 	found.touch()
 	return found.server.Submit(ctx, submitted, chunk)
@@ -250,7 +260,7 @@
 // EndSession implements request.Server.
 func (g *Groups) EndSession(name string, session group.SessionID) {
 	g.mu.RLock()
-	found := g.held[name]
+	found := g.served[name]
 	g.mu.RUnlock()
 	if found != nil {
 		found.server.EndSession(name, session)
@@ -260,25 +270,25 @@
 // Cancel implements request.Server.
 func (g *Groups) Cancel(name string, id group.RequestID) {
 	g.mu.RLock()
-	found := g.held[name]
+	found := g.served[name]
 	g.mu.RUnlock()
 	if found != nil {
 		found.server.Cancel(name, id)
 	}
 }
 
-// Status returns the state of the groups held here.
+// Status returns the status of the groups on this node, by name.
 func (g *Groups) Status() map[string]Status {
 	g.mu.RLock()
 	defer g.mu.RUnlock()
 	statuses := map[string]Status{}
-	for name, current := range g.held {
+	for name, current := range g.served {
 		statuses[name] = current.server.Status()
 	}
 	return statuses
 }
 
-// Busy returns how many requests and open transactions remain here.
+// Busy returns the number of requests in progress and open transactions on this node.
 func (g *Groups) Busy() int {
 	busy := 0
 	for _, status := range g.Status() {
@@ -287,25 +297,25 @@
 	return busy
 }
 
-// Drain stops taking new requests; those in progress and open transactions go on.
+// Drain rejects new requests. Requests in progress and open transactions continue.
 func (g *Groups) Drain() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.closed = true
-	for _, current := range g.held {
-		current.owned = false
-		current.since = time.Now()
+	for _, current := range g.served {
+		current.accepting = false
+		current.changedAt = time.Now()
 		current.server.SetAccepting(false)
 	}
 }
 
-// Close ends everything at once.
+// Close closes all groups without draining them.
 func (g *Groups) Close() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.closed = true
-	for name, current := range g.held {
+	for name, current := range g.served {
 		current.server.Close()
-		delete(g.held, name)
+		delete(g.served, name)
 	}
 }
--- a/internal/postgres/owner/server.go
+++ b/internal/postgres/owner/server.go
@@ -1,6 +1,6 @@
-// Package owner carries out a group machine's effects: it holds the connection
-// pools of the groups that this node serves, asks the servers for their status
-// and runs requests.
+// Package owner serves database groups on their owner and stand-by nodes. It applies the
+// effects of each group's machine: it runs requests on pooled connections and polls the
+// status of the database servers.
 package owner
 
 import (
@@ -17,51 +17,53 @@
 	"dewknot/internal/postgres/request"
 )
 
-// Limits on what is held in memory for one answer.
+// Limits of the memory for one answer.
 const (
-	// chunkBytes is the size from which a read's answer is passed on in parts.
+	// chunkBytes is the size at which a part of a read's answer is sent to the listener.
 	chunkBytes = 32 << 10
-	// maxHeldBytes bounds an answer that is held back until its confirmation.
-	maxHeldBytes = 16 << 20
+	// maxBufferedBytes is the maximum size of an answer that is buffered until its confirmation.
+	maxBufferedBytes = 16 << 20
 )
 
-// call is a request inside this node.
+// call is the state of a request in progress.
 type call struct {
 	request *request.Request
 	chunk   func([]byte) error
-	// instructions carries Run and Reply effects to the request's goroutine.
+	// instructions passes Run and Reply effects to the request's goroutine.
 	instructions chan group.Effect
-	data         []byte
+	data         []byte // buffered part of the answer
 	status       byte
 	synced       bool
-	passedOn     bool
-	mu           sync.Mutex
-	conn         *backend.Conn // while a run uses it
+	chunkSent    bool          // a part of the answer was sent
+	mu           sync.Mutex    // guards conn and canceled
+	conn         *backend.Conn // the running batch's connection, nil if none
 	canceled     bool
 }
 
 // Server serves one group.
 type Server struct {
-	config  *configuration.Group
-	log     *zap.Logger
-	started time.Time
-	pools   []*backend.Pool
-	asks    []chan uint64
-	ctx     context.Context
-	cancel  context.CancelFunc
-	done    sync.WaitGroup
-
-	mu      sync.Mutex // guards machine, calls, pinned and wake
-	machine *group.Machine
-	calls   map[group.RequestID]*call
-	pinned  map[group.SessionID]*backend.Conn
-	wake    *time.Timer
+	config         *configuration.Group
+	log            *zap.Logger
+	started        time.Time
+	pools          []*backend.Pool
+	statusRequests []chan uint64 // number of the pending status request, by server
+	ctx            context.Context
+	cancel         context.CancelFunc
+	done           sync.WaitGroup
+
+	mu        sync.Mutex // guards machine, calls, pinned and wakeTimer
+	machine   *group.Machine
+	calls     map[group.RequestID]*call
+	pinned    map[group.SessionID]*backend.Conn
+	wakeTimer *time.Timer
 
 	counters *Counters
 }
 
 // NewServer starts serving a group.
-func NewServer(config *configuration.Group, settings group.Settings, log *zap.Logger, counters *Counters) *Server {
+func NewServer(
+	config *configuration.Group, settings group.Settings, log *zap.Logger, counters *Counters,
+) *Server {
 	ctx, cancel := context.WithCancel(context.Background())
 	server := &Server{
 		config: config, log: log, started: time.Now(), ctx: ctx, cancel: cancel,
@@ -70,9 +72,9 @@
 	}
 	for index := range config.Servers {
 		server.pools = append(server.pools, backend.NewPool(server.address(index)))
-		server.asks = append(server.asks, make(chan uint64, 1))
+		server.statusRequests = append(server.statusRequests, make(chan uint64, 1))
 	}
-	server.wake = time.AfterFunc(time.Hour, func() { server.step(group.Tick{}) })
+	server.wakeTimer = time.AfterFunc(time.Hour, func() { server.step(group.Tick{}) })
 	for index := range config.Servers {
 		server.done.Add(1)
 		go server.statusLoop(index)
@@ -93,11 +95,11 @@
 	}
 }
 
-// Close ends all work for the group. Requests in progress get no result from
-// here; close only what has drained, or a node that goes down at once.
+// Close ends all work for the group. Requests in progress fail with a LinkError, so Close
+// should only be called after the group has drained or when the node stops at once.
 func (s *Server) Close() {
 	s.cancel()
-	s.wake.Stop()
+	s.wakeTimer.Stop()
 	for _, pool := range s.pools {
 		pool.CloseAll()
 	}
@@ -111,8 +113,8 @@
 
 func (s *Server) now() time.Duration { return time.Since(s.started) }
 
-// step applies an event and carries out its effects. Effects only hand work to
-// other goroutines, so that holding the lock keeps their order at little cost.
+// step passes an event to the machine and applies the effects. The lock is held meanwhile to
+// keep their order; it is held briefly, because effects only pass work to other goroutines.
 func (s *Server) step(event group.Event) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -121,12 +123,12 @@
 	}
 	now := s.now()
 	for _, effect := range s.machine.Step(now, event) {
-		s.carryOut(effect)
+		s.applyEffect(effect)
 	}
-	s.wake.Reset(s.machine.NextWake() - now)
+	s.wakeTimer.Reset(s.machine.NextWake() - now)
 }
 
-func (s *Server) carryOut(effect group.Effect) {
+func (s *Server) applyEffect(effect group.Effect) {
 	switch typed := effect.(type) {
 	case group.Run:
 		s.instruct(typed.ID, typed)
@@ -135,11 +137,12 @@
 		delete(s.calls, typed.ID)
 	case group.Ask:
 		select {
-		case s.asks[typed.Server] <- typed.Number:
-		default: // the loop is busy with a question that has timed out
+		case s.statusRequests[typed.Server] <- typed.Number:
+		default: // statusLoop is still busy with a request that has timed out
 		}
 	case group.Disconnect:
-		s.log.Info("owner: server is unfit, closing its connections", zap.String("group", s.config.Name), zap.Int("server", typed.Server))
+		s.log.Info("owner: server is unfit, closing its connections",
+			zap.String("group", s.config.Name), zap.Int("server", typed.Server))
 		s.pools[typed.Server].CloseAll()
 	case group.Abort:
 		s.abort(typed.Session)
@@ -148,8 +151,8 @@
 	}
 }
 
-// instruct hands an effect to its request's goroutine. The channel has room for
-// every instruction that can be outstanding: one run and one reply.
+// instruct passes an effect to its request's goroutine. It doesn't block: the channel has
+// capacity for all instructions that can be outstanding, which are one run and one reply.
 func (s *Server) instruct(id group.RequestID, effect group.Effect) {
 	if current := s.calls[id]; current != nil {
 		current.instructions <- effect
@@ -186,17 +189,22 @@
 	}
 }
 
-// cancelTimeout bounds sending a cancel request.
+// cancelTimeout is the timeout of sending a cancel request.
 const cancelTimeout = time.Second
 
-// instructionRoom is the greatest number of instructions outstanding at a time.
-const instructionRoom = 4
+// instructionCapacity is at least the number of instructions that can be outstanding.
+const instructionCapacity = 4
 
 // Submit runs a request; it implements request.Server.
-func (s *Server) Submit(_ context.Context, submitted *request.Request, chunk func([]byte) error) (request.Result, error) {
-	current := &call{request: submitted, chunk: chunk, instructions: make(chan group.Effect, instructionRoom), status: backend.Idle, synced: true}
+func (s *Server) Submit(
+	_ context.Context, submitted *request.Request, chunk func([]byte) error,
+) (request.Result, error) {
+	current := &call{
+		request: submitted, chunk: chunk, instructions: make(chan group.Effect, instructionCapacity),
+		status: backend.Idle, synced: true,
+	}
 	s.mu.Lock()
-	if _, twice := s.calls[submitted.Info.ID]; twice {
+	if _, duplicate := s.calls[submitted.Info.ID]; duplicate {
 		s.mu.Unlock()
 		return request.Failed(failure.Protocol, "request number used twice", 0), nil
 	}
@@ -219,14 +227,15 @@
 	}
 }
 
-// result combines the machine's verdict with the answer held for it.
+// result makes the result of a request from the machine's reply and the buffered answer.
 func (s *Server) result(current *call, reply group.Reply) request.Result {
 	s.counters.observe(current.request, reply)
 	if reply.Kind != failure.None {
 		return request.Failed(reply.Kind, "", reply.RetryAfter)
 	}
 	return request.Result{
-		Status: current.status, Synced: current.synced, Position: reply.Position, FromReplica: reply.FromReplica, Data: current.data,
+		Status: current.status, Synced: current.synced, Position: reply.Position,
+		FromReplica: reply.FromReplica, Data: current.data,
 	}
 }
 
@@ -234,28 +243,29 @@
 func (s *Server) run(current *call, instruction group.Run) group.RunResult {
 	conn, err := s.connectionFor(instruction)
 	if err != nil {
-		s.log.Info("owner: no connection", zap.String("group", s.config.Name), zap.Int("server", instruction.Server), zap.Error(err))
+		s.log.Info("owner: no connection",
+			zap.String("group", s.config.Name), zap.Int("server", instruction.Server), zap.Error(err))
 		return group.RunResult{Outcome: group.NotStarted}
 	}
-	if !current.use(conn) || !s.mayBegin(instruction) {
-		s.giveBack(instruction, conn, true)
+	if !current.setConn(conn) || !s.mayBegin(instruction) {
+		s.releaseConnection(instruction, conn, true)
 		return group.RunResult{Outcome: group.NotStarted}
 	}
 	current.data = current.data[:0]
 	info := current.request.Info
-	held := info.MayCommit || instruction.Confirm
-	report, err := conn.Run(current.request.Batch, held, current.sink(held))
-	current.use(nil)
+	buffered := info.MayCommit || instruction.Confirm
+	report, err := conn.Run(current.request.Batch, buffered, current.sink(buffered))
+	current.setConn(nil)
 	if err != nil {
-		s.dropConnection(instruction, conn)
+		s.discardConnection(instruction, conn)
 		return lostResult(current, report)
 	}
-	return s.completed(current, instruction, conn, report)
+	return s.completedResult(current, instruction, conn, report)
 }
 
-// use notes the connection that a run uses; it reports false when the request
-// was canceled before.
-func (c *call) use(conn *backend.Conn) bool {
+// setConn sets the connection of the running batch, so that it can be canceled. It reports
+// false if the request is already canceled.
+func (c *call) setConn(conn *backend.Conn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.conn = conn
@@ -266,41 +276,46 @@
 	switch {
 	case !report.Sent:
 		return group.RunResult{Outcome: group.NotStarted}
-	case current.passedOn:
+	case current.chunkSent:
 		return group.RunResult{Outcome: group.LostPartway}
 	default:
 		return group.RunResult{Outcome: group.Lost}
 	}
 }
 
-// SQLSTATEs with which a server refuses before running (PostgreSQL, appendix A).
+// SQLSTATEs with which a server rejects a request before running it (PostgreSQL, appendix A).
 const (
 	codeReadOnly      = "25006"
 	codeTooMany       = "53300"
 	codeCannotConnect = "57P03"
 )
 
-func (s *Server) completed(current *call, instruction group.Run, conn *backend.Conn, report backend.RunReport) group.RunResult {
+func (s *Server) completedResult(
+	current *call, instruction group.Run, conn *backend.Conn, report backend.RunReport,
+) group.RunResult {
 	info := current.request.Info
 	open := !report.Synced || report.Status != backend.Idle
-	mustWrite := report.FirstError == codeReadOnly && info.ReadOnly && !instruction.Pinned && !current.passedOn && !report.CommandCompleted && !open
+	mustWrite := report.FirstError == codeReadOnly && info.ReadOnly && !instruction.Pinned &&
+		!current.chunkSent && !report.CommandCompleted && !open
 	if mustWrite {
-		s.giveBack(instruction, conn, true)
+		s.releaseConnection(instruction, conn, true)
 		return group.RunResult{Outcome: group.MustWrite}
 	}
 	current.status, current.synced = report.Status, report.Synced
 	if open {
-		s.keep(current, instruction.Server, conn)
+		s.pin(current, instruction.Server, conn)
 	} else {
-		s.giveBack(instruction, conn, true)
+		s.releaseConnection(instruction, conn, true)
 	}
 	return group.RunResult{
 		Outcome: group.Completed, TransactionOpen: open,
-		Wrote: info.MayCommit && !open && (report.CommandCompleted || report.FirstError == ""), Position: report.Position,
+		Wrote:    info.MayCommit && !open && (report.CommandCompleted || report.FirstError == ""),
+		Position: report.Position,
 	}
 }
 
-// mayBegin reports whether the machine's decision to begin new work still holds.
+// mayBegin reports whether the request may still begin. The machine's decision can be outdated
+// once a connection has been acquired.
 func (s *Server) mayBegin(instruction group.Run) bool {
 	if instruction.Pinned {
 		return true
@@ -323,9 +338,9 @@
 	return conn, nil
 }
 
-// keep holds a connection for its session's transaction. If the session ended
+// pin keeps a connection for the transaction of its session. If the session has ended
 // meanwhile, the connection is closed, which rolls the transaction back.
-func (s *Server) keep(current *call, server int, conn *backend.Conn) {
+func (s *Server) pin(current *call, server int, conn *backend.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	id := current.request.Info.ID
@@ -343,7 +358,7 @@
 	delete(s.pinned, session)
 }
 
-func (s *Server) giveBack(instruction group.Run, conn *backend.Conn, clean bool) {
+func (s *Server) releaseConnection(instruction group.Run, conn *backend.Conn, clean bool) {
 	if instruction.Pinned {
 		s.unpin(instruction.ID.Session)
 	}
@@ -354,22 +369,22 @@
 	}
 }
 
-func (s *Server) dropConnection(instruction group.Run, conn *backend.Conn) {
-	s.giveBack(instruction, conn, false)
+func (s *Server) discardConnection(instruction group.Run, conn *backend.Conn) {
+	s.releaseConnection(instruction, conn, false)
 }
 
-// sink collects the answer. It is passed on in parts once it is large, unless it
-// must be held until the machine releases it.
-func (c *call) sink(held bool) func([]byte) error {
+// sink returns a function that collects the answer. Unless the answer must be buffered until
+// the machine releases it, it is sent in parts of at least chunkBytes.
+func (c *call) sink(buffered bool) func([]byte) error {
 	return func(message []byte) error {
 		c.data = append(c.data, message...)
-		if len(c.data) > maxHeldBytes {
+		if len(c.data) > maxBufferedBytes {
 			return failure.New(failure.TooLarge, "the answer of a write exceeds what is held until its confirmation")
 		}
-		if held || len(c.data) < chunkBytes {
+		if buffered || len(c.data) < chunkBytes {
 			return nil
 		}
-		c.passedOn = true
+		c.chunkSent = true
 		err := c.chunk(c.data)
 		c.data = c.data[:0]
 		return err
@@ -392,23 +407,23 @@
 // Cancel implements request.Server.
 func (s *Server) Cancel(_ string, id group.RequestID) { s.step(group.Cancel{ID: id}) }
 
-// SetAccepting opens or closes the group for new requests here.
+// SetAccepting sets whether this node accepts new requests for the group.
 func (s *Server) SetAccepting(open bool) { s.step(group.Accept{Open: open}) }
 
-// SetLeaving marks a server for a planned stop.
+// SetLeaving marks or unmarks a server as leaving, which precedes a planned stop.
 func (s *Server) SetLeaving(index int, on bool) { s.step(group.Leaving{Server: index, On: on}) }
 
-// SetFresh tells until when new work may begin.
+// SetFresh sets the time until which new work may begin.
 func (s *Server) SetFresh(until time.Time) {
 	s.step(group.Fresh{Until: until.Sub(s.started)})
 }
 
-// SetLimits changes this node's share of each server's limits.
+// SetLimits sets this node's share of each server's limits.
 func (s *Server) SetLimits(slots, connections int) {
 	s.step(group.Resize{Slots: slots, Connections: connections})
 }
 
-// Status is what operators see of a group at its owner.
+// Status is a group's status on this node, for operators.
 type Status struct {
 	Servers          []group.ServerView
 	Queued           int
@@ -416,7 +431,7 @@
 	OpenTransactions int
 }
 
-// Status returns the group's state.
+// Status returns the group's status.
 func (s *Server) Status() Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -442,5 +457,5 @@
 	}
 }
 
-// trimInterval is the time between looks for idle connections.
+// trimInterval is the interval between checks for idle connections.
 const trimInterval = 10 * time.Second
--- a/internal/postgres/owner/status.go
+++ b/internal/postgres/owner/status.go
@@ -8,10 +8,10 @@
 	"dewknot/internal/postgres/group"
 )
 
-// statusTimeout bounds one status question, dialing included.
+// statusTimeout is the timeout of one status request, dialing included.
 const statusTimeout = 500 * time.Millisecond
 
-// statusLoop answers Ask effects for one server on a connection of its own.
+// statusLoop serves the Ask effects for one server on a dedicated connection.
 func (s *Server) statusLoop(index int) {
 	defer s.done.Done()
 	var conn *backend.Conn
@@ -24,14 +24,14 @@
 		select {
 		case <-s.ctx.Done():
 			return
-		case number := <-s.asks[index]:
-			conn = s.askOnce(index, number, conn)
+		case number := <-s.statusRequests[index]:
+			conn = s.requestStatus(index, number, conn)
 		}
 	}
 }
 
-// askOnce asks one question and returns the connection if it is still good.
-func (s *Server) askOnce(index int, number uint64, conn *backend.Conn) *backend.Conn {
+// requestStatus sends one status request. It returns the connection, or nil if it failed.
+func (s *Server) requestStatus(index int, number uint64, conn *backend.Conn) *backend.Conn {
 	deadline := time.Now().Add(statusTimeout)
 	if conn == nil {
 		ctx, cancel := context.WithDeadline(s.ctx, deadline)
