--- a/internal/postgres/backend/conn.go
+++ b/internal/postgres/backend/conn.go
@@ -83,7 +83,7 @@
 }
 
 // Close closes the connection; a running batch fails. Data that the server has not
-// acknowledged is dropped, so that it cannot arrive after a network partition.
+// acknowledged is dropped, so that it cannot arrive after a network partition has healed.
 func (c *Conn) Close() {
 	if tcp, ok := c.net.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
--- a/internal/postgres/peer/peer_test.go
+++ b/internal/postgres/peer/peer_test.go
@@ -187,6 +187,7 @@
 	must.Eq(t, "request 1;", string(result.Data))
 }
 
+// Guards against panics on malformed frame bodies.
 func FuzzFrameBodies(f *testing.F) {
 	f.Add([]byte{0x93, 0xa1, 'g', 0x90, 0x90})
 	f.Fuzz(func(_ *testing.T, data []byte) {
--- a/internal/postgres/statement/classify_test.go
+++ b/internal/postgres/statement/classify_test.go
@@ -9,6 +9,7 @@
 	_ "dewknot/internal/base/propertytest" // fixes the seed
 )
 
+// Guards against statements that are routed wrongly because of their classification.
 func TestClassify(t *testing.T) {
 	cases := []struct {
 		sql  string
@@ -73,6 +74,7 @@
 	})
 }
 
+// Guards against panics and endless loops on arbitrary text.
 func FuzzClassify(f *testing.F) {
 	f.Add("SELECT 1")
 	f.Add("$a$ /* ' \" E'\\")
