--- a/internal/postgres/statement/classify_test.go
+++ b/internal/postgres/statement/classify_test.go
@@ -9,6 +9,7 @@
 	_ "dewknot/internal/base/propertytest" // fixes the seed
 )
 
+// Guards against statements that are routed wrongly because of their classification.
 func TestClassify(t *testing.T) {
 	cases := []struct {
 		sql  string
@@ -51,7 +52,8 @@
 	}
 }
 
-// A statement that holds a write word outside literals and comments is never a read.
+// Guards against writes that are classified as reads because of the literals, comments and
+// quoted names around them.
 func TestWritesAreNeverReads(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		noise := rapid.SampledFrom([]string{"'a'", "/* x */", "-- y\n", "\"q\"", "$$z$$", "1", "E'\\''", "$1"})
@@ -67,11 +69,12 @@
 			sql += part + " "
 		}
 		if Classify(sql).ReadOnly {
-			t.Fatalf("%q counted as a read", sql)
+			t.Fatalf("%q was classified as a read", sql)
 		}
 	})
 }
 
+// Guards against panics and endless loops on arbitrary text.
 func FuzzClassify(f *testing.F) {
 	f.Add("SELECT 1")
 	f.Add("$a$ /* ' \" E'\\")
