--- a/internal/postgres/membership/machine.go
+++ b/internal/postgres/membership/machine.go
@@ -11,26 +11,26 @@
 	"dewknot/internal/postgres/objectapi"
 )
 
-// Settings are the intervals of the protocol.
+// Settings holds the parameters of the protocol.
 type Settings struct {
 	// ProbeInterval is the time between probes of other members.
 	ProbeInterval time.Duration
-	// ProbeTimeout is how long a direct answer may take before others are asked.
+	// ProbeTimeout is the time after which indirect probes follow a direct one.
 	ProbeTimeout time.Duration
-	// IndirectProbes is how many members are asked to probe on this node's behalf.
+	// IndirectProbes is the number of members that send indirect probes.
 	IndirectProbes int
-	// SuspicionFactor times log10(members)+1 probe intervals is how long a member
-	// stays suspected before it counts as dead.
+	// SuspicionFactor scales the suspicion timeout. A suspected member is declared
+	// dead after SuspicionFactor * (1+log10(members+1)) probe intervals.
 	SuspicionFactor float64
-	// DeadRetention is how long dead members are remembered and probed.
+	// DeadRetention is how long dead members are kept and probed.
 	DeadRetention time.Duration
-	// DeadProbeEvery makes every n-th probe go to a dead member or a seed.
+	// DeadProbeEvery is n if every n-th probe goes to a dead member or a seed.
 	DeadProbeEvery int
-	// Fanout is how many members get a configuration change pushed at once.
+	// Fanout is the number of members to which a configuration change is pushed.
 	Fanout int
 }
 
-// DefaultSettings returns the intervals used in production.
+// DefaultSettings returns the settings for production.
 func DefaultSettings() Settings {
 	return Settings{
 		ProbeInterval: time.Second, ProbeTimeout: 300 * time.Millisecond, IndirectProbes: 3,
@@ -38,11 +38,12 @@
 	}
 }
 
-// maxUpdates bounds the member updates on one datagram.
+// maxUpdates is the maximum number of member updates in one datagram.
 const maxUpdates = 6
 
-// spreadFactor times log2(members+1) is how often an update is passed on.
-const spreadFactor = 3
+// retransmitFactor scales the number of times an update is sent, which is
+// retransmitFactor * log2(members+1).
+const retransmitFactor = 3
 
 // Kind is the type of a datagram.
 type Kind uint8
@@ -51,9 +52,9 @@
 const (
 	Ping Kind = iota
 	Ack
-	// PingRequest asks the receiver to probe Target and pass the answer on.
+	// PingRequest asks the receiver to probe Target and to forward its answer.
 	PingRequest
-	// Push carries configuration objects to a member that may lack them.
+	// Push carries configuration objects that the receiver may not have yet.
 	Push
 )
 
@@ -61,112 +62,119 @@
 type Message struct {
 	Kind Kind   `msgpack:"k"`
 	From string `msgpack:"f"`
-	// Sender is the sender's own entry: a receiver that does not know the sender
-	// yet can answer it.
+	// Sender is the sender's own state. With it, a receiver that does not know the
+	// sender yet can answer.
 	Sender   Member `msgpack:"e"`
 	Sequence uint64 `msgpack:"q"`
 	Target   string `msgpack:"t"`
-	// TargetAddress is where the target of a PingRequest listens.
+	// TargetAddress is the gossip address of the target of a PingRequest.
 	TargetAddress string   `msgpack:"ta"`
 	Updates       []Member `msgpack:"u"`
-	// Members and Configuration are digests of the sender's knowledge.
+	// Members and Configuration are the digests of the sender's member list and
+	// configuration.
 	Members       uint64               `msgpack:"m"`
 	Configuration configuration.Digest `msgpack:"c"`
-	// Objects complete what lies between the revisions Base and Complete.
+	// Objects holds all changes after revision Base up to revision Complete. If
+	// both are zero, it may hold single objects.
 	Objects  []objectapi.Object `msgpack:"o"`
 	Base     uint64             `msgpack:"cb"`
 	Complete uint64             `msgpack:"cr"`
 }
 
-// Effect is an output of the machine.
+// Effect is a message that the caller must send.
 type Effect struct {
-	// To is the gossip address that Message goes to.
+	// To is the gossip address of the receiver.
 	To      string
 	Message Message
 }
 
-// update is news that is still being passed on.
+// update is a member update that is still being disseminated.
 type update struct {
 	id        string
 	transmits int
 }
 
-// probe is a question that awaits its answer.
+// probe is a probe without an answer so far.
 type probe struct {
 	target   string
 	sequence uint64
 	sentAt   time.Duration
 	indirect bool
-	// forID and forSequence name on whose behalf the probe was sent.
-	forAddress  string
-	forSequence uint64
+	// requesterAddress and requesterSequence are set if the probe was sent for the
+	// PingRequest of another member.
+	requesterAddress  string
+	requesterSequence uint64
 }
 
-// Machine is a node's view of the fleet.
+// Machine is the protocol state of one node.
 type Machine struct {
-	settings Settings
-	self     Member
-	seeds    []string
-	members  map[string]*entry
-	order    []string // identifiers, sorted
-	updates  []update
-	probes   []probe
-	sequence uint64
-	rounds   int
-	// round is a shuffled list of members still to be probed.
-	round      []string
-	nextProbe  time.Duration
-	random     *rand.Rand
-	hash       uint64
-	now        time.Duration
-	effects    []Effect
-	changed    bool
-	digest     configuration.Digest
-	wantSync   string
-	hint       map[string]bool
-	suspicions []string
-	// freshAsOf is the latest time at which a probe was sent whose answer showed
-	// that the peer knows no newer configuration.
+	settings  Settings
+	self      Member
+	seeds     []string
+	members   map[string]*entry
+	sortedIDs []string // keys of members
+	updates   []update
+	probes    []probe
+	sequence  uint64
+	periods   int
+	// unprobed lists the members not probed yet in this round, in random order.
+	unprobed            []string
+	nextProbe           time.Duration
+	random              *rand.Rand
+	digest              uint64
+	now                 time.Duration
+	effects             []Effect
+	changed             bool
+	configurationDigest configuration.Digest
+	syncPeer            string
+	listedMachines      map[string]bool
+	suspects            []string
+	// freshAsOf is the latest time at which a probe was sent to a peer whose answer
+	// showed no newer configuration.
 	freshAsOf time.Duration
-	// differSince is when a peer's member list was first seen to differ.
-	differSince time.Duration
+	// membersDifferSince is when the member lists began to differ or were last
+	// synchronized for that reason; zero if they are equal.
+	membersDifferSince time.Duration
 }
 
-// New returns a machine that knows itself and the gossip addresses of seeds.
+// New returns a machine whose only member is self. The seeds are gossip addresses
+// through which it joins the fleet.
 func New(settings Settings, self Member, seeds []string, seed uint64) *Machine {
-	created := &Machine{
+	machine := &Machine{
 		settings: settings, self: self, seeds: seeds, members: map[string]*entry{},
 		random: rand.New(rand.NewPCG(seed, self.Incarnation)),
 	}
-	created.put(self)
-	return created
+	machine.storeAndQueue(self)
+	return machine
 }
 
-// Self returns this node as others see it.
+// Self returns the member that represents this node.
 func (m *Machine) Self() Member { return m.members[m.self.ID].Member }
 
-// Changed reports whether the list changed since the last call.
+// Changed reports whether the member list changed since the last call.
 func (m *Machine) Changed() bool {
 	changed := m.changed
 	m.changed = false
 	return changed
 }
 
-// Digest returns the member list's digest.
-func (m *Machine) Digest() uint64 { return m.hash }
+// Digest returns the digest of the member list.
+func (m *Machine) Digest() uint64 { return m.digest }
 
-// FreshAsOf returns the latest time at which this node asked a peer that then
-// answered and knew no newer configuration.
+// FreshAsOf returns the latest time at which this node sent a probe to a peer whose
+// answer showed no newer configuration.
 func (m *Machine) FreshAsOf() time.Duration { return m.freshAsOf }
 
-// Alone reports whether no other member has ever been known.
+// Alone reports whether no other member is known, not even a dead one.
 func (m *Machine) Alone() bool { return len(m.members) <= 1 }
 
-// SetConfiguration tells the machine the configuration digest to announce.
-func (m *Machine) SetConfiguration(digest configuration.Digest) { m.digest = digest }
+// SetConfiguration sets the configuration digest that messages carry.
+func (m *Machine) SetConfiguration(configurationDigest configuration.Digest) {
+	m.configurationDigest = configurationDigest
+}
 
-// put stores a member's new state and queues it to be passed on.
-func (m *Machine) put(member Member) {
+// storeAndQueue stores a member's new state and queues it for dissemination.
+func (m *Machine) storeAndQueue(member Member) {
 	m.store(member)
 	m.updates = slices.DeleteFunc(m.updates, func(queued update) bool { return queued.id == member.ID })
 	m.updates = append([]update{{id: member.ID}}, m.updates...)
@@ -177,27 +185,27 @@
 	if !ok {
 		known = &entry{}
 		m.members[member.ID] = known
-		at, _ := slices.BinarySearch(m.order, member.ID)
-		m.order = slices.Insert(m.order, at, member.ID)
+		at, _ := slices.BinarySearch(m.sortedIDs, member.ID)
+		m.sortedIDs = slices.Insert(m.sortedIDs, at, member.ID)
 	} else {
-		m.hash ^= known.hash()
+		m.digest ^= known.digest()
 	}
-	m.hash ^= member.hash()
-	if member.Status == Suspect && !slices.Contains(m.suspicions, member.ID) {
-		m.suspicions = append(m.suspicions, member.ID)
+	m.digest ^= member.digest()
+	if member.Status == Suspect && !slices.Contains(m.suspects, member.ID) {
+		m.suspects = append(m.suspects, member.ID)
 	}
 	*known = entry{Member: member, since: m.now}
 	m.changed = true
 }
 
-func (m *Machine) forget(id string) {
-	m.hash ^= m.members[id].hash()
+func (m *Machine) remove(id string) {
+	m.digest ^= m.members[id].digest()
 	delete(m.members, id)
-	m.order = slices.DeleteFunc(m.order, func(known string) bool { return known == id })
+	m.sortedIDs = slices.DeleteFunc(m.sortedIDs, func(known string) bool { return known == id })
 	m.updates = slices.DeleteFunc(m.updates, func(queued update) bool { return queued.id == id })
 }
 
-// Leave marks this node as being stopped.
+// Leave sets whether this node is draining before a planned shutdown.
 func (m *Machine) Leave(draining bool) {
 	self := m.Self()
 	if self.Draining == draining {
@@ -205,59 +213,62 @@
 	}
 	self.Draining = draining
 	self.Incarnation++
-	m.put(self)
+	m.storeAndQueue(self)
 }
 
-// Learn takes in a peer's whole list. What comes from there is not passed on as
-// news: the fleet knows it, and lists that still differ are compared again.
+// Learn merges the complete member list of a peer. The changes are not queued for
+// dissemination, because the fleet already has them; lists that still differ are
+// synchronized again.
 func (m *Machine) Learn(now time.Duration, members []Member) {
 	m.now = now
 	for _, member := range members {
-		m.accept(member, m.store)
+		m.merge(member, m.store)
 	}
 }
 
-func (m *Machine) learn(member Member) { m.accept(member, m.put) }
+func (m *Machine) applyUpdate(member Member) { m.merge(member, m.storeAndQueue) }
 
-// accept keeps a member's state if it is newer than what is known.
-func (m *Machine) accept(member Member, keep func(Member)) {
+// merge calls store with the member if it is newer than the known state.
+func (m *Machine) merge(member Member, store func(Member)) {
 	known, ok := m.members[member.ID]
 	switch {
 	case member.ID == m.self.ID:
 		m.refute(member)
 	case !ok:
 		if member.Status != Dead {
-			keep(member)
+			store(member)
 		}
 	case member.overrides(known.Member):
-		keep(member)
+		store(member)
 	}
 }
 
-// refute answers news that this node is suspected, dead or differs from itself.
-func (m *Machine) refute(news Member) {
+// refute overrides a report that this node is suspected or dead, or that is newer
+// than its own state, by raising the incarnation.
+func (m *Machine) refute(reported Member) {
 	self := m.Self()
-	if news.Incarnation < self.Incarnation || news.Incarnation == self.Incarnation && news.Status <= self.Status {
+	if reported.Incarnation < self.Incarnation ||
+		reported.Incarnation == self.Incarnation && reported.Status <= self.Status {
 		return
 	}
-	self.Incarnation = news.Incarnation + 1
-	m.put(self)
+	self.Incarnation = reported.Incarnation + 1
+	m.storeAndQueue(self)
 }
 
-// Hint takes the platform's list of machines, which lags: a machine missing from
-// it is suspected rather than believed dead.
+// Hint processes the platform's machine list. As the list lags behind, a machine
+// that disappears from it becomes suspected and not dead.
 func (m *Machine) Hint(now time.Duration, machines []objectapi.Machine) {
 	m.now = now
 	listed := map[string]bool{}
 	for _, machine := range machines {
 		listed[machine.ID] = true
 	}
-	for id := range m.hint {
+	for id := range m.listedMachines {
 		if known, ok := m.members[id]; ok && !listed[id] && known.Status == Alive && id != m.self.ID {
 			m.suspect(id)
 		}
 	}
-	m.hint = listed
+	m.listedMachines = listed
 }
 
 func (m *Machine) suspect(id string) {
@@ -266,18 +277,18 @@
 		return
 	}
 	known.Status = Suspect
-	m.put(known)
+	m.storeAndQueue(known)
 }
 
-// TakeSync returns the gossip identity of a peer whose state differs from ours
-// and should be compared in full, or "".
+// TakeSync returns the ID of a peer whose state differs and with which this node
+// should synchronize, or "". It clears the pending synchronization.
 func (m *Machine) TakeSync() string {
-	peer := m.wantSync
-	m.wantSync = ""
+	peer := m.syncPeer
+	m.syncPeer = ""
 	return peer
 }
 
-// Tick lets time pass and returns datagrams to send.
+// Tick handles timeouts and sends the probes that are due.
 func (m *Machine) Tick(now time.Duration) []Effect {
 	m.now = now
 	m.effects = nil
@@ -286,12 +297,12 @@
 	if now >= m.nextProbe {
 		m.nextProbe = now + m.settings.ProbeInterval
 		m.probeNext()
-		m.warnSuspects()
+		m.notifySuspects()
 	}
 	return m.effects
 }
 
-// NextWake returns when Tick is needed next.
+// NextWake returns the time at which Tick must be called next.
 func (m *Machine) NextWake() time.Duration {
 	wake := m.nextProbe
 	for _, current := range m.probes {
@@ -302,17 +313,17 @@
 	return max(wake, m.now+time.Millisecond)
 }
 
-// Receive handles a datagram and returns datagrams to send.
+// Receive handles a message of another member and returns the messages to send.
 func (m *Machine) Receive(now time.Duration, message Message) []Effect {
 	m.now = now
 	m.effects = nil
 	if message.Sender.ID != "" {
-		m.learn(message.Sender)
+		m.applyUpdate(message.Sender)
 	}
 	for _, member := range message.Updates {
-		m.learn(member)
+		m.applyUpdate(member)
 	}
-	m.compare(message)
+	m.compareDigests(message)
 	switch message.Kind {
 	case Ping:
 		m.answerPing(message)
@@ -324,67 +335,71 @@
 	return m.effects
 }
 
-// compare asks for a full comparison when digests differ and no news is under way.
-func (m *Machine) compare(message Message) {
+// compareDigests requests a synchronization with the sender if the digests differ.
+func (m *Machine) compareDigests(message Message) {
 	if message.Kind == PingRequest || len(message.Objects) > 0 {
 		return
 	}
 	membersDiffer := m.membersDiffer(message)
-	configurationDiffers := message.Configuration != m.digest && message.Configuration.Complete >= m.digest.Complete
+	configurationDiffers := message.Configuration != m.configurationDigest &&
+		message.Configuration.Complete >= m.configurationDigest.Complete
 	if membersDiffer || configurationDiffers {
-		m.wantSync = message.From
+		m.syncPeer = message.From
 	}
 }
 
-// differPatience is how long member lists may differ while news is under way
-// before they are compared in full.
-const differPatience = 5 * time.Second
+// maxDivergence is how long member lists may differ while updates are being
+// disseminated before they are synchronized.
+const maxDivergence = 5 * time.Second
 
-// membersDiffer reports whether the lists must be compared in full: at once when
-// no news is under way, else when they have differed for long.
+// membersDiffer reports whether the member lists need a synchronization: at once if
+// no updates are being disseminated, otherwise after maxDivergence.
 func (m *Machine) membersDiffer(message Message) bool {
-	if message.Members == m.hash {
-		m.differSince = 0
+	if message.Members == m.digest {
+		m.membersDifferSince = 0
 		return false
 	}
-	if m.differSince == 0 {
-		m.differSince = m.now
+	if m.membersDifferSince == 0 {
+		m.membersDifferSince = m.now
 	}
-	quiet := len(m.updates) == 0 && len(message.Updates) == 0
-	if !quiet && m.now < m.differSince+differPatience {
+	idle := len(m.updates) == 0 && len(message.Updates) == 0
+	if !idle && m.now < m.membersDifferSince+maxDivergence {
 		return false
 	}
-	m.differSince = m.now
+	m.membersDifferSince = m.now
 	return true
 }
 
 func (m *Machine) send(to string, message Message) {
 	message.From = m.self.ID
 	message.Sender = m.Self()
-	message.Members = m.hash
-	message.Configuration = m.digest
+	message.Members = m.digest
+	message.Configuration = m.configurationDigest
 	message.Updates = m.takeUpdates()
 	m.effects = append(m.effects, Effect{To: to, Message: message})
 }
 
-// takeUpdates returns the news passed on least often so far.
+// takeUpdates returns the updates that were sent least often and counts them as
+// sent once more.
 func (m *Machine) takeUpdates() []Member {
 	if len(m.updates) == 0 {
 		return nil
 	}
-	limit := int(math.Ceil(spreadFactor * math.Log2(float64(len(m.members)+1))))
+	maxTransmits := int(math.Ceil(retransmitFactor * math.Log2(float64(len(m.members)+1))))
 	sort.SliceStable(m.updates, func(i, j int) bool { return m.updates[i].transmits < m.updates[j].transmits })
 	var taken []Member
 	for index := range m.updates[:min(maxUpdates, len(m.updates))] {
 		m.updates[index].transmits++
 		taken = append(taken, m.members[m.updates[index].id].Member)
 	}
-	m.updates = slices.DeleteFunc(m.updates, func(queued update) bool { return queued.transmits >= limit })
+	m.updates = slices.DeleteFunc(m.updates, func(queued update) bool {
+		return queued.transmits >= maxTransmits
+	})
 	return taken
 }
 
-// Pushes returns datagrams that carry configuration objects to random members.
-// Without objects they only carry the digest, and receivers synchronize.
+// Pushes returns messages that carry configuration objects to random members.
+// Without objects they carry only the digests, and the receivers synchronize.
 func (m *Machine) Pushes(objects []objectapi.Object, base, complete uint64) []Effect {
 	m.effects = nil
 	for _, id := range m.RandomPeers(m.settings.Fanout, "") {
--- a/internal/postgres/membership/machine_test.go
+++ b/internal/postgres/membership/machine_test.go
@@ -11,12 +11,12 @@
 	_ "dewknot/internal/base/propertytest" // fixes the seed
 )
 
-// fleet runs machines on virtual time with a lossless or lossy network.
+// fleet runs machines in virtual time on a network that may drop messages.
 type fleet struct {
 	machines map[string]*Machine
 	queue    []delivery
 	now      time.Duration
-	cut      func(from, to string) bool
+	drop     func(from, to string) bool
 }
 
 type delivery struct {
@@ -27,11 +27,11 @@
 }
 
 func newFleet(count int) *fleet {
-	created := &fleet{machines: map[string]*Machine{}, cut: func(string, string) bool { return false }}
+	result := &fleet{machines: map[string]*Machine{}, drop: func(string, string) bool { return false }}
 	for index := range count {
-		created.start(index, 1)
+		result.start(index, 1)
 	}
-	return created
+	return result
 }
 
 func address(index int) string { return fmt.Sprintf("n%d", index) }
@@ -56,7 +56,7 @@
 
 func (f *fleet) send(from string, effects []Effect) {
 	for _, effect := range effects {
-		if !f.cut(from, effect.To) {
+		if !f.drop(from, effect.To) {
 			f.queue = append(f.queue, delivery{f.now + 10*time.Millisecond, from, effect.To, effect.Message})
 		}
 	}
@@ -79,8 +79,8 @@
 	}
 }
 
-// A fleet that starts from two seeds knows itself within seconds, a dead member
-// is found, a restarted one returns, and a healed split joins again.
+// The member lists must become complete within seconds after a start from two seeds,
+// after a restart and after a network partition, and must lose a dead member.
 func TestFleetLifecycle(t *testing.T) {
 	fleet := newFleet(12)
 	fleet.run(8 * time.Second)
@@ -92,22 +92,22 @@
 	fleet.run(8 * time.Second)
 	fleet.requireAll(t, 12)
 	half := func(id string) bool { return id < address(5) }
-	fleet.cut = func(from, to string) bool { return half(from) != half(to) }
+	fleet.drop = func(from, to string) bool { return half(from) != half(to) }
 	fleet.run(60 * time.Second)
 	must.Less(t, 12, len(fleet.machines[address(0)].List()))
-	fleet.cut = func(string, string) bool { return false }
+	fleet.drop = func(string, string) bool { return false }
 	fleet.run(40 * time.Second)
 	fleet.requireAll(t, 12)
 }
 
-// A member that runs and is reachable is not believed dead under loss.
-func TestLossDoesNotKill(t *testing.T) {
+// Packet loss must not make running members count as dead.
+func TestPacketLossKeepsMembersAlive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fleet := newFleet(8)
 		fleet.run(10 * time.Second)
 		counter := rapid.IntRange(0, 1000).Draw(t, "offset")
 		percent := rapid.IntRange(0, 10).Draw(t, "loss")
-		fleet.cut = func(string, string) bool {
+		fleet.drop = func(string, string) bool {
 			counter = (counter*1103515245 + 12345) & 0x7fffffff
 			return counter>>16%100 < percent
 		}
--- a/internal/postgres/membership/member.go
+++ b/internal/postgres/membership/member.go
@@ -1,14 +1,17 @@
-// Package membership is the fleet's own failure detector and member list.
+// Package membership implements the failure detector and the member list of a
+// fleet of nodes.
 //
-// It follows the SWIM scheme (Das, Gupta, Motivala: "SWIM: Scalable
+// It follows the SWIM protocol (Das, Gupta, Motivala: "SWIM: Scalable
 // Weakly-consistent Infection-style Process Group Membership Protocol", 2002)
-// with suspicion and incarnation numbers: each period a node probes one other
-// node, asks a few others to probe on its behalf when no answer comes, and
-// spreads what it learns on the probes themselves. Members believed dead are
-// probed now and then, so that two halves of a split find each other again.
+// with suspicion and incarnation numbers. In each period a node probes one other
+// node. If the node does not answer, a few other nodes are asked to probe it as
+// well. Member updates are piggybacked on the probes. Dead members are probed
+// from time to time, so that the sides of a healed network partition find each
+// other.
 //
-// The machine is pure: it has no clock, sockets or goroutines, and its random
-// choices come from a generator with a given seed.
+// Machine is deterministic: it has no clock, sockets or goroutines, and its
+// random number generator is seeded by the caller. It is not safe for
+// concurrent use.
 package membership
 
 import (
@@ -18,13 +21,13 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Status is what the fleet believes of a member.
+// Status is the state of a member as seen by the fleet.
 type Status uint8
 
-// The statuses, in the order in which they override each other at one incarnation.
+// The statuses. Within one incarnation, a higher status overrides a lower one.
 const (
 	Alive Status = iota
-	// Leaving: the member runs and is being stopped as planned.
+	// Leaving means that the member is running and being shut down as planned.
 	Leaving
 	Suspect
 	Dead
@@ -35,37 +38,37 @@
 	return [...]string{"alive", "leaving", "suspect", "dead"}[s]
 }
 
-// Addresses are where a member can be reached.
+// Addresses holds the network addresses of a member.
 type Addresses struct {
 	// Gossip is the UDP address of the membership protocol.
 	Gossip string `msgpack:"g"`
 	// Peer is the TCP address of the internal protocol.
 	Peer string `msgpack:"p"`
-	// Operator is the HTTP address for operators.
+	// Operator is the HTTP address of the operator API.
 	Operator string `msgpack:"o"`
 }
 
-// Member is one node as another knows it.
+// Member is the state of one node.
 type Member struct {
 	ID          string    `msgpack:"i"`
 	Incarnation uint64    `msgpack:"n"`
 	Status      Status    `msgpack:"s"`
 	Zone        string    `msgpack:"z"`
 	Addresses   Addresses `msgpack:"a"`
-	// Draining is kept apart from Status, so that a suspected member that is
-	// being stopped stays out of placement when it refutes the suspicion.
+	// Draining is separate from Status, so that a draining member that refutes
+	// a suspicion remains excluded from placement.
 	Draining bool `msgpack:"d"`
 }
 
-// Running reports whether the member may be sent requests.
+// Running reports whether requests may be sent to the member.
 func (m Member) Running() bool { return m.Status != Dead }
 
-// Placeable reports whether the member may own groups or hold roles. A suspected
-// member stays: suspicion is often wrong, and listeners turn to the stand-by
-// owner by themselves.
+// Placeable reports whether the member may own groups or have roles. This includes
+// suspected members: suspicions are often wrong, and listeners switch to the
+// standby owner on their own.
 func (m Member) Placeable() bool { return m.Status != Dead && m.Status != Leaving && !m.Draining }
 
-// overrides reports whether news about a member replaces what is known.
+// overrides reports whether m is newer than the known state of the same member.
 func (m Member) overrides(known Member) bool {
 	if m.Incarnation != known.Incarnation {
 		return m.Incarnation > known.Incarnation
@@ -73,9 +76,9 @@
 	return m.Status > known.Status
 }
 
-// hash is the member's part of the list's digest. Dead members have none: nodes
-// forget them at different times.
-func (m Member) hash() uint64 {
+// digest returns the member's contribution to the digest of the member list. It is
+// zero for dead members, because nodes remove them at different times.
+func (m Member) digest() uint64 {
 	if m.Status == Dead {
 		return 0
 	}
@@ -83,13 +86,13 @@
 	return (xxhash.Sum64String(m.ID) + uint64(m.Status)*statusFactor) ^ m.Incarnation*incarnationFactor
 }
 
-// entry is a member with what only this node knows of it.
+// entry is a member with the local state of this node about it.
 type entry struct {
 	Member
-	since time.Duration // when the status last changed here
+	since time.Duration // when this node last stored a new state
 }
 
-// List returns all members that are not dead, sorted by identifier.
+// List returns all members that are not dead, sorted by ID.
 func (m *Machine) List() []Member {
 	var members []Member
 	for _, known := range m.members {
@@ -101,17 +104,17 @@
 	return members
 }
 
-// All returns all members, dead ones included, sorted by identifier; it is what
-// a peer needs to synchronize.
+// All returns all members including dead ones, sorted by ID. Peers need this list
+// to synchronize.
 func (m *Machine) All() []Member {
 	var members []Member
-	for _, id := range m.order {
+	for _, id := range m.sortedIDs {
 		members = append(members, m.members[id].Member)
 	}
 	return members
 }
 
-// Get returns a member.
+// Get returns the member with the given ID.
 func (m *Machine) Get(id string) (Member, bool) {
 	known, ok := m.members[id]
 	if !ok {
--- a/internal/postgres/membership/probes.go
+++ b/internal/postgres/membership/probes.go
@@ -6,16 +6,14 @@
 	"time"
 )
 
-// Probes, suspicion and the news about members that rides on them.
-
 func (m *Machine) answerPing(message Message) {
 	sender, ok := m.members[message.From]
 	if !ok {
-		return // dead members that were forgotten
+		return // dead members that were removed
 	}
 	m.send(sender.Addresses.Gossip, Message{Kind: Ack, Sequence: message.Sequence, Target: m.self.ID})
 	if sender.Status == Dead || sender.Status == Suspect {
-		// Tell it what is believed, so that it can refute.
+		// Include its state, so that it can refute it.
 		last := &m.effects[len(m.effects)-1].Message
 		last.Updates = append(last.Updates, sender.Member)
 	}
@@ -27,11 +25,13 @@
 			continue
 		}
 		m.probes = slices.Delete(m.probes, index, index+1)
-		if message.Configuration.Complete <= m.digest.Complete {
+		if message.Configuration.Complete <= m.configurationDigest.Complete {
 			m.freshAsOf = max(m.freshAsOf, current.sentAt)
 		}
-		if current.forAddress != "" {
-			m.send(current.forAddress, Message{Kind: Ack, Sequence: current.forSequence, Target: message.Target})
+		if current.requesterAddress != "" {
+			m.send(current.requesterAddress, Message{
+				Kind: Ack, Sequence: current.requesterSequence, Target: message.Target,
+			})
 		}
 		return
 	}
@@ -45,27 +45,28 @@
 	m.sequence++
 	m.probes = append(m.probes, probe{
 		target: message.Target, sequence: m.sequence, sentAt: m.now, indirect: true,
-		forAddress: requester.Addresses.Gossip, forSequence: message.Sequence,
+		requesterAddress: requester.Addresses.Gossip, requesterSequence: message.Sequence,
 	})
 	m.send(message.TargetAddress, Message{Kind: Ping, Sequence: m.sequence, Target: message.Target})
 }
 
-// probeNext probes the next member of the round. Every few rounds a dead member
-// or a seed that is no member is tried instead, which heals splits.
+// probeNext probes the next member of the round. Every few periods it probes a dead
+// member or a seed that is not a running member instead, so that healed network
+// partitions merge.
 func (m *Machine) probeNext() {
-	m.rounds++
-	if m.rounds%m.settings.DeadProbeEvery == 1%m.settings.DeadProbeEvery {
-		if address := m.lostAddress(); address != "" {
+	m.periods++
+	if m.periods%m.settings.DeadProbeEvery == 1%m.settings.DeadProbeEvery {
+		if address := m.rejoinAddress(); address != "" {
 			m.probeAddress("", address)
 			return
 		}
 	}
-	if len(m.round) == 0 {
-		m.shuffleRound()
+	if len(m.unprobed) == 0 {
+		m.refillUnprobed()
 	}
-	for len(m.round) > 0 {
-		id := m.round[0]
-		m.round = m.round[1:]
+	for len(m.unprobed) > 0 {
+		id := m.unprobed[0]
+		m.unprobed = m.unprobed[1:]
 		if known, ok := m.members[id]; ok && known.Status != Dead {
 			m.probeAddress(id, known.Addresses.Gossip)
 			return
@@ -73,19 +74,19 @@
 	}
 }
 
-// maxWarnings bounds the suspects that are told so in one period.
-const maxWarnings = 2
+// maxSuspectNotices is the maximum number of suspects notified in one period.
+const maxSuspectNotices = 2
 
-// warnSuspects tells suspects directly, so that one that runs can refute in time
-// even where news gets lost.
-func (m *Machine) warnSuspects() {
-	warned := 0
-	for _, id := range m.suspicions {
+// notifySuspects sends suspects their own state, so that running ones can refute it
+// in time even if disseminated updates get lost.
+func (m *Machine) notifySuspects() {
+	notified := 0
+	for _, id := range m.suspects {
 		known, ok := m.members[id]
-		if !ok || known.Status != Suspect || warned == maxWarnings {
+		if !ok || known.Status != Suspect || notified == maxSuspectNotices {
 			continue
 		}
-		warned++
+		notified++
 		m.probeAddress("", known.Addresses.Gossip)
 		last := &m.effects[len(m.effects)-1].Message
 		last.Updates = append(last.Updates, known.Member)
@@ -100,52 +101,54 @@
 	m.send(address, Message{Kind: Ping, Sequence: m.sequence, Target: id})
 }
 
-func (m *Machine) shuffleRound() {
-	m.round = m.round[:0]
-	for _, id := range m.order {
+func (m *Machine) refillUnprobed() {
+	m.unprobed = m.unprobed[:0]
+	for _, id := range m.sortedIDs {
 		if id != m.self.ID && m.members[id].Status != Dead {
-			m.round = append(m.round, id)
+			m.unprobed = append(m.unprobed, id)
 		}
 	}
-	m.random.Shuffle(len(m.round), func(i, j int) { m.round[i], m.round[j] = m.round[j], m.round[i] })
+	m.random.Shuffle(len(m.unprobed), func(i, j int) {
+		m.unprobed[i], m.unprobed[j] = m.unprobed[j], m.unprobed[i]
+	})
 }
 
-// lostAddress picks the address of a dead member or of a seed that is not among
-// the running members.
-func (m *Machine) lostAddress() string {
+// rejoinAddress returns the address of a random dead member or of a seed that is not
+// a running member, or "".
+func (m *Machine) rejoinAddress() string {
 	running := map[string]bool{m.self.Addresses.Gossip: true}
-	var lost []string
-	for _, id := range m.order {
+	var candidates []string
+	for _, id := range m.sortedIDs {
 		known := m.members[id]
 		if known.Status == Dead {
-			lost = append(lost, known.Addresses.Gossip)
+			candidates = append(candidates, known.Addresses.Gossip)
 		} else {
 			running[known.Addresses.Gossip] = true
 		}
 	}
 	for _, seed := range m.seeds {
 		if !running[seed] {
-			lost = append(lost, seed)
+			candidates = append(candidates, seed)
 		}
 	}
-	if len(lost) == 0 {
+	if len(candidates) == 0 {
 		return ""
 	}
-	return lost[m.random.IntN(len(lost))]
+	return candidates[m.random.IntN(len(candidates))]
 }
 
 func (m *Machine) expireProbes() {
 	kept := m.probes[:0]
 	for _, current := range m.probes {
 		switch {
-		case current.forAddress != "" && m.now >= current.sentAt+m.settings.ProbeInterval:
-		case current.forAddress == "" && current.indirect && m.now >= current.sentAt+m.settings.ProbeInterval:
+		case current.requesterAddress != "" && m.now >= current.sentAt+m.settings.ProbeInterval:
+		case current.requesterAddress == "" && current.indirect && m.now >= current.sentAt+m.settings.ProbeInterval:
 			if _, ok := m.members[current.target]; ok {
 				m.suspect(current.target)
 			}
 		case !current.indirect && m.now >= current.sentAt+m.settings.ProbeTimeout:
 			current.indirect = true
-			m.askOthers(current)
+			m.probeIndirectly(current)
 			kept = append(kept, current)
 		default:
 			kept = append(kept, current)
@@ -154,28 +157,29 @@
 	m.probes = kept
 }
 
-// askOthers probes a silent member once more and asks a few random members to
-// do the same.
-func (m *Machine) askOthers(silent probe) {
-	target, ok := m.members[silent.target]
+// probeIndirectly probes a member that has not answered once more and asks a few
+// random members to probe it as well.
+func (m *Machine) probeIndirectly(expired probe) {
+	target, ok := m.members[expired.target]
 	if !ok {
 		return
 	}
-	m.send(target.Addresses.Gossip, Message{Kind: Ping, Sequence: silent.sequence, Target: silent.target})
-	for _, id := range m.RandomPeers(m.settings.IndirectProbes, silent.target) {
+	m.send(target.Addresses.Gossip, Message{Kind: Ping, Sequence: expired.sequence, Target: expired.target})
+	for _, id := range m.RandomPeers(m.settings.IndirectProbes, expired.target) {
 		m.send(m.members[id].Addresses.Gossip, Message{
-			Kind: PingRequest, Sequence: silent.sequence, Target: silent.target, TargetAddress: target.Addresses.Gossip,
+			Kind: PingRequest, Sequence: expired.sequence, Target: expired.target,
+			TargetAddress: target.Addresses.Gossip,
 		})
 	}
 }
 
-// RandomPeers returns up to count running members other than this node and one
-// more; they are drawn from the whole fleet.
-func (m *Machine) RandomPeers(count int, except string) []string {
+// RandomPeers returns the IDs of up to count running members, except this node and
+// the excluded member. It may return fewer than there are.
+func (m *Machine) RandomPeers(count int, excluded string) []string {
 	var picked []string
-	for attempt := 0; attempt < 4*count+8 && len(picked) < count && len(m.order) > 1; attempt++ {
-		id := m.order[m.random.IntN(len(m.order))]
-		if id == m.self.ID || id == except || m.members[id].Status == Dead || slices.Contains(picked, id) {
+	for attempt := 0; attempt < 4*count+8 && len(picked) < count && len(m.sortedIDs) > 1; attempt++ {
+		id := m.sortedIDs[m.random.IntN(len(m.sortedIDs))]
+		if id == m.self.ID || id == excluded || m.members[id].Status == Dead || slices.Contains(picked, id) {
 			continue
 		}
 		picked = append(picked, id)
@@ -183,41 +187,41 @@
 	return picked
 }
 
-func (m *Machine) suspicionTime() time.Duration {
+func (m *Machine) suspicionTimeout() time.Duration {
 	factor := m.settings.SuspicionFactor * (1 + math.Log10(float64(len(m.members)+1)))
 	return time.Duration(factor * float64(m.settings.ProbeInterval))
 }
 
 func (m *Machine) expireSuspicions() {
-	suspicions := m.suspicions
-	m.suspicions = nil
-	for _, id := range suspicions {
+	suspects := m.suspects
+	m.suspects = nil
+	for _, id := range suspects {
 		known, ok := m.members[id]
 		switch {
 		case !ok || known.Status != Suspect:
-		case m.now >= known.since+m.suspicionTime():
+		case m.now >= known.since+m.suspicionTimeout():
 			dead := known.Member
 			dead.Status = Dead
-			m.put(dead)
+			m.storeAndQueue(dead)
 		default:
-			if !slices.Contains(m.suspicions, id) {
-				m.suspicions = append(m.suspicions, id)
+			if !slices.Contains(m.suspects, id) {
+				m.suspects = append(m.suspects, id)
 			}
 		}
 	}
-	if m.rounds%forgetEvery == 0 {
-		m.forgetDead()
+	if m.periods%removeDeadEvery == 0 {
+		m.removeDead()
 	}
 }
 
-// forgetEvery is how many probe rounds pass between looks for members to forget.
-const forgetEvery = 64
+// removeDeadEvery is the number of periods between checks for expired dead members.
+const removeDeadEvery = 64
 
-func (m *Machine) forgetDead() {
-	for _, id := range append([]string(nil), m.order...) {
+func (m *Machine) removeDead() {
+	for _, id := range append([]string(nil), m.sortedIDs...) {
 		known := m.members[id]
 		if known.Status == Dead && m.now >= known.since+m.settings.DeadRetention {
-			m.forget(id)
+			m.remove(id)
 		}
 	}
 }
