--- a/internal/postgres/configuration/objects.go
+++ b/internal/postgres/configuration/objects.go
@@ -21,28 +21,29 @@
 	ServerMarkPrefix = "marks/server/"
 )
 
-// Server is one database server of a group.
+// Server is a database server of a group.
 type Server struct {
 	Address string `json:"address" msgpack:"a"`
 	Zone    string `json:"zone" msgpack:"z"`
 }
 
-// Group is the configuration of a database group. Its name is the database name
-// that callers connect to.
+// Group is the configuration of a database group. Callers connect to it with its
+// name as the database name.
 type Group struct {
 	Name    string   `json:"-" msgpack:"n"`
 	Servers []Server `json:"servers" msgpack:"s"`
-	// Slots and Connections are each server's limits, for the whole fleet.
+	// Slots and Connections are the limits of each server, shared by the fleet.
 	Slots       int `json:"slots" msgpack:"sl"`
 	Connections int `json:"connections" msgpack:"cn"`
-	// User and Password are used towards the servers.
+	// User and Password are the credentials for connections to the servers.
 	User     string `json:"user" msgpack:"u"`
 	Password string `json:"password,omitempty" msgpack:"p"`
-	// Database is the database name on the servers; the group's name if empty.
+	// Database is the name of the database on the servers. It defaults to the
+	// group's name.
 	Database string `json:"database,omitempty" msgpack:"d"`
 }
 
-// HomeZone is the zone that owners of the group should be near to.
+// HomeZone returns the zone in or near which the group's owners should run.
 func (g *Group) HomeZone() string {
 	if len(g.Servers) == 0 {
 		return ""
@@ -50,7 +51,7 @@
 	return g.Servers[0].Zone
 }
 
-// Check refuses a group that cannot be served.
+// Check returns an error if the group cannot be served.
 func (g *Group) Check() error {
 	switch {
 	case len(g.Servers) == 0:
@@ -65,27 +66,28 @@
 
 // Limits on a group's size.
 const (
-	// MaxServers is the most servers a group may have.
+	// MaxServers is the maximum number of servers of a group.
 	MaxServers = 9
-	// MinimumConnections leaves room for the owner, the stand-by and their status connections.
+	// MinimumConnections is enough for the owner, the standby owner and their status
+	// connections.
 	MinimumConnections = 5
 )
 
-// Operation identifies a change by its operator, so that a change whose answer
-// was lost can be recognised when read back.
+// Operation identifies a change by an operator, so that a change whose response was
+// lost can be recognized when the object is read back.
 type Operation struct {
 	ID     string    `json:"id"`
 	Author string    `json:"author"`
 	At     time.Time `json:"at"`
 	Note   string    `json:"note,omitempty"`
-	// Version is the object's version that the change replaced.
+	// Version is the version of the object that the change replaced.
 	Version uint64 `json:"replaced_version"`
 }
 
-// keptOperations is how many operations an object remembers.
-const keptOperations = 16
+// maxOperations is the maximum number of operations in an object's history.
+const maxOperations = 16
 
-// Policy is a policy in force, with its history of operations.
+// Policy is the active policy of a service, with its history of operations.
 type Policy struct {
 	Source     string        `json:"source"`
 	Table      *policy.Table `json:"table"`
@@ -94,35 +96,36 @@
 	Operations []Operation   `json:"operations"`
 }
 
-// Proposal is a policy that waits for a second operator's review.
+// Proposal is a policy that waits for review by a second operator.
 type Proposal struct {
 	Source string `json:"source"`
 	Author string `json:"author"`
-	// Replaces is the version of the policy in force that the author saw.
+	// Replaces is the version of the active policy that the author has seen.
 	Replaces   uint64      `json:"replaces"`
 	Operations []Operation `json:"operations"`
 }
 
-// User is a caller's credentials.
+// User holds the credentials of a caller.
 type User struct {
-	// Verifier is a SCRAM-SHA-256 verifier in PostgreSQL's format.
+	// Verifier is a SCRAM-SHA-256 verifier in the format of PostgreSQL.
 	Verifier string `json:"verifier"`
 }
 
-// Mark is an operator's mark on a node or server.
+// Mark is an operator's mark on a node or a server that is to be stopped.
 type Mark struct {
 	Leaving    bool        `json:"leaving"`
 	Author     string      `json:"author"`
 	Operations []Operation `json:"operations"`
 }
 
-// WithOperation appends an operation to a history of bounded length.
+// WithOperation returns a copy of the history with the operation appended, without
+// the oldest operations beyond the maximum length.
 func WithOperation(history []Operation, operation Operation) []Operation {
 	history = append(append([]Operation(nil), history...), operation)
-	return history[max(0, len(history)-keptOperations):]
+	return history[max(0, len(history)-maxOperations):]
 }
 
-// HasOperation reports whether a history holds an operation.
+// HasOperation reports whether the history contains the operation.
 func HasOperation(history []Operation, id string) bool {
 	for _, operation := range history {
 		if operation.ID == id {
@@ -132,30 +135,30 @@
 	return false
 }
 
-// ServerMarkKey is the key of the mark on a group's server.
+// ServerMarkKey returns the key of the mark on a server of a group.
 func ServerMarkKey(group, address string) string {
 	return ServerMarkPrefix + group + "/" + address
 }
 
-// Decoded caches the typed values of configuration objects by key and version.
+// Decoded holds the decoded values of configuration objects, keyed by name.
 type Decoded struct {
 	Groups   map[string]*Group
 	Policies map[string]*PolicyInForce
 	Users    map[string]*User
-	// LeavingNodes holds node names; LeavingServers holds "group/address".
+	// LeavingNodes is keyed by node name, LeavingServers by "group/address".
 	LeavingNodes   map[string]bool
 	LeavingServers map[string]bool
-	// Faults lists objects that could not be used, by key.
+	// Faults holds the errors of objects that could not be used, by object key.
 	Faults map[string]string
 }
 
-// PolicyInForce is a service's rule table and its version.
+// PolicyInForce is the active rule table of a service, with its version.
 type PolicyInForce struct {
 	Table   *policy.Table
 	Version uint64
 }
 
-// NewDecoded returns an empty set.
+// NewDecoded returns a Decoded without values.
 func NewDecoded() *Decoded {
 	return &Decoded{
 		Groups: map[string]*Group{}, Policies: map[string]*PolicyInForce{}, Users: map[string]*User{},
@@ -163,11 +166,11 @@
 	}
 }
 
-// Apply updates the typed values for changed objects. An object that cannot be
-// used leaves the last usable value in place and is listed under Faults.
+// Apply updates the values of the changed objects. If an object cannot be used, its
+// last usable value remains and the error is added to Faults.
 func (d *Decoded) Apply(changed []objectapi.Object) {
 	for _, object := range changed {
-		if err := d.applyOne(object); err != nil {
+		if err := d.applyObject(object); err != nil {
 			d.Faults[object.Key] = err.Error()
 		} else {
 			delete(d.Faults, object.Key)
@@ -175,7 +178,7 @@
 	}
 }
 
-func (d *Decoded) applyOne(object objectapi.Object) error {
+func (d *Decoded) applyObject(object objectapi.Object) error {
 	switch {
 	case strings.HasPrefix(object.Key, GroupPrefix):
 		return d.applyGroup(object)
@@ -255,7 +258,7 @@
 	return nil
 }
 
-// Clone returns a copy that shares the typed values, which are never changed in place.
+// Clone returns a copy that shares the decoded values, which are never modified.
 func (d *Decoded) Clone() *Decoded {
 	return &Decoded{
 		Groups: cloneMap(d.Groups), Policies: cloneMap(d.Policies), Users: cloneMap(d.Users),
--- a/internal/postgres/configuration/state.go
+++ b/internal/postgres/configuration/state.go
@@ -1,11 +1,11 @@
-// Package configuration holds the fleet's configuration as every node knows it:
-// a set of versioned objects that only ever moves forward.
+// Package configuration holds the fleet's configuration on each node: a set of
+// versioned objects whose versions never decrease.
 //
-// All versions come from the store's one revision counter. A node knows every
-// change up to its Complete revision, and may know single later objects. Merging
-// keeps the higher version of each object, so that it is commutative,
-// associative and idempotent: the order in which peers and the store deliver
-// changes, however often, does not matter, and nothing reverts.
+// All versions come from the revision counter of the store. A node has every change
+// up to its Complete revision and may have some later objects. Merging keeps the
+// higher version of each object, which makes it commutative, associative and
+// idempotent: peers and the store may deliver changes in any order and more than
+// once, and no object reverts to an older version.
 package configuration
 
 import (
@@ -16,42 +16,42 @@
 	"dewknot/internal/postgres/objectapi"
 )
 
-// State is a node's knowledge of the configuration.
+// State is the configuration as known to one node. It is not safe for concurrent use.
 type State struct {
 	objects  map[string]objectapi.Object
 	complete uint64
 	hash     uint64
-	// AcceptOlder breaks the rule that versions only grow; only a test of the
-	// checker sets it.
+	// AcceptOlder lets Merge accept older versions. It is a fault that only tests
+	// set, to verify that the checker detects it.
 	AcceptOlder bool
 }
 
 // NewState returns an empty state.
 func NewState() *State { return &State{objects: map[string]objectapi.Object{}} }
 
-// Digest summarizes a state for comparison between peers.
+// Digest identifies a state, so that peers can compare theirs.
 type Digest struct {
 	Complete uint64 `msgpack:"c"`
 	Hash     uint64 `msgpack:"h"`
 }
 
-// Digest returns the state's summary; equal digests mean equal states but for
-// hash collisions, which the next change resolves.
+// Digest returns the digest of the state. Equal digests mean equal states, except
+// for hash collisions, which the next change resolves.
 func (s *State) Digest() Digest { return Digest{Complete: s.complete, Hash: s.hash} }
 
-// Complete returns the revision up to which the node knows every change.
+// Complete returns the revision up to which the state has every change.
 func (s *State) Complete() uint64 { return s.complete }
 
-// Get returns an object; deleted objects are not found.
+// Get returns an object. It does not find deleted objects.
 func (s *State) Get(key string) (objectapi.Object, bool) {
 	found, ok := s.objects[key]
 	return found, ok && !found.Deleted
 }
 
-// Len returns the number of objects, tombstones included.
+// Len returns the number of objects, including tombstones.
 func (s *State) Len() int { return len(s.objects) }
 
-// Each calls visit for every object that is not deleted, in the order of keys.
+// Each calls visit for every object that is not deleted, ordered by key.
 func (s *State) Each(visit func(objectapi.Object)) {
 	keys := make([]string, 0, len(s.objects))
 	for key := range s.objects {
@@ -65,20 +65,20 @@
 	}
 }
 
-// Merge takes in objects, and the revision up to which they complete what lies
-// above this state's own complete revision (0 for single objects). It returns
-// the objects that changed.
+// Merge merges objects into the state and returns those that changed. The objects
+// must include every change between the state's own complete revision and complete;
+// complete is 0 for single objects.
 func (s *State) Merge(objects []objectapi.Object, complete uint64) []objectapi.Object {
 	var changed []objectapi.Object
 	for _, object := range objects {
-		current, known := s.objects[object.Key]
-		if known && object.Version <= current.Version && !s.AcceptOlder {
+		current, exists := s.objects[object.Key]
+		if exists && object.Version <= current.Version && !s.AcceptOlder {
 			continue
 		}
-		if known {
-			s.hash ^= hashOf(current)
+		if exists {
+			s.hash ^= objectHash(current)
 		}
-		s.hash ^= hashOf(object)
+		s.hash ^= objectHash(object)
 		s.objects[object.Key] = object
 		changed = append(changed, object)
 	}
@@ -86,14 +86,14 @@
 	return changed
 }
 
-func hashOf(object objectapi.Object) uint64 {
-	const mixer = 0x9e3779b97f4a7c15
-	hash := xxhash.Sum64String(object.Key) + object.Version*mixer
-	return hash ^ hash>>29*mixer
+func objectHash(object objectapi.Object) uint64 {
+	const multiplier = 0x9e3779b97f4a7c15
+	hash := xxhash.Sum64String(object.Key) + object.Version*multiplier
+	return hash ^ hash>>29*multiplier
 }
 
-// Since returns every object above a revision and the revision up to which that
-// is all of them.
+// Since returns all known objects with a version above revision, ordered by version,
+// and the revision up to which they are complete.
 func (s *State) Since(revision uint64) ([]objectapi.Object, uint64) {
 	var objects []objectapi.Object
 	for _, object := range s.objects {
--- a/internal/postgres/configuration/state_test.go
+++ b/internal/postgres/configuration/state_test.go
@@ -11,15 +11,15 @@
 	"dewknot/internal/postgres/objectapi"
 )
 
-// Whatever the order, repetition and loss of deliveries, versions never go down,
-// and nodes that have heard the same changes are equal.
+// Versions must never decrease, and nodes with the same changes must have equal
+// states, whatever the order, repetition and loss of deliveries.
 func TestMergeNeverReverts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		source := NewState()
 		peers := []*State{NewState(), NewState(), NewState()}
-		held := make([]map[string]uint64, len(peers))
-		for index := range held {
-			held[index] = map[string]uint64{}
+		seen := make([]map[string]uint64, len(peers))
+		for index := range seen {
+			seen[index] = map[string]uint64{}
 		}
 		revision := uint64(0)
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
@@ -31,14 +31,14 @@
 				source.Merge([]objectapi.Object{object}, revision)
 			case 1: // a delta from the store
 				peers[to].Merge(source.Since(peers[to].Complete()))
-			case 2: // a delta from a peer, perhaps stale
+			case 2: // a delta from a peer, possibly stale
 				from := rapid.IntRange(0, len(peers)-1).Draw(t, "from")
 				peers[to].Merge(peers[from].Since(peers[to].Complete()))
-			case 3: // a restart loses everything; the newcomer takes a peer's state
+			case 3: // a restart without any state
 				peers[to] = NewState()
-				held[to] = map[string]uint64{}
+				seen[to] = map[string]uint64{}
 			}
-			requireForward(t, peers[to], held[to])
+			requireVersionsNotLower(t, peers[to], seen[to])
 		}
 		for _, peer := range peers {
 			peer.Merge(source.Since(peer.Complete()))
@@ -47,11 +47,11 @@
 	})
 }
 
-func requireForward(t *rapid.T, state *State, held map[string]uint64) {
+func requireVersionsNotLower(t *rapid.T, state *State, seen map[string]uint64) {
 	state.Each(func(object objectapi.Object) {
-		if object.Version < held[object.Key] {
-			t.Fatalf("object %s went from version %d back to %d", object.Key, held[object.Key], object.Version)
+		if object.Version < seen[object.Key] {
+			t.Fatalf("object %s reverted from version %d to %d", object.Key, seen[object.Key], object.Version)
 		}
-		held[object.Key] = object.Version
+		seen[object.Key] = object.Version
 	})
 }
