--- a/internal/postgres/administration/administration.go
+++ b/internal/postgres/administration/administration.go
@@ -1,10 +1,10 @@
-// Package administration changes configuration in the platform's store on
-// behalf of operators.
+// Package administration changes the configuration in the platform's store on behalf
+// of operators.
 //
-// Every change names the version it replaces, so that of two operators exactly
-// one wins, and carries an operation identifier, so that a change whose answer
-// was lost is found again instead of being made twice. A change counts as
-// accepted only after the store has taken it.
+// Every change contains the version that it replaces, so that only one of several
+// concurrent changes succeeds. It also contains an operation ID, so that a change
+// whose response was lost is recognized and not made twice. A change counts as
+// accepted only after the store has accepted it.
 package administration
 
 import (
@@ -21,38 +21,38 @@
 	"dewknot/internal/postgres/policy"
 )
 
-// Store is the part of the platform's object API that changes need.
+// Store is the part of the platform's object API that Service uses.
 type Store interface {
 	Get(ctx context.Context, key string) (objectapi.Object, error)
 	Put(ctx context.Context, key string, value json.RawMessage, version uint64) (objectapi.Object, error)
 	Delete(ctx context.Context, key string, version uint64) (objectapi.Object, error)
 }
 
-// Kind tells an operator what can be done about an error.
+// Kind classifies errors by what an operator can do about them.
 type Kind string
 
 // The kinds of errors.
 const (
-	// Conflict: somebody else has changed the object.
+	// Conflict means that another operator has changed the object.
 	Conflict Kind = "conflict"
-	// Invalid: the change cannot be used.
+	// Invalid means that the change is incorrect.
 	Invalid Kind = "invalid"
-	// ReviewNeeded: the change must be approved by another operator.
+	// ReviewNeeded means that another operator must approve the change.
 	ReviewNeeded Kind = "review_needed"
-	// NotFound: the object to change does not exist.
+	// NotFound means that the object to change does not exist.
 	NotFound Kind = "not_found"
-	// Uncertain: the store may or may not have taken the change.
+	// Uncertain means that the store may have made the change.
 	Uncertain Kind = "uncertain"
-	// Unavailable: the store did not take the change.
+	// Unavailable means that the store did not make the change.
 	Unavailable Kind = "unavailable"
 )
 
-// Error is a refusal of a change.
+// Error explains why a change failed or may have failed.
 type Error struct {
 	Kind    Kind   `json:"kind"`
 	Message string `json:"message"`
 	Remedy  string `json:"remedy"`
-	// Winner is the version and author that a conflicting change lost to.
+	// WinnerVersion and WinnerAuthor describe the change that caused a conflict.
 	WinnerVersion uint64 `json:"winner_version,omitempty"`
 	WinnerAuthor  string `json:"winner_author,omitempty"`
 }
@@ -60,13 +60,13 @@
 // Error implements the error interface.
 func (e *Error) Error() string { return fmt.Sprintf("%s; remedy: %s", e.Message, e.Remedy) }
 
-// Change is what an operator asks for.
+// Change holds the metadata of a change by an operator.
 type Change struct {
-	// Operation identifies the change; sending it again does not repeat it.
+	// Operation is the ID of the change. A change with the same ID is made only once.
 	Operation string `json:"operation"`
 	Author    string `json:"author"`
 	Note      string `json:"note,omitempty"`
-	// Replaces is the version that the operator has seen; 0 for a new object.
+	// Replaces is the version that the operator has seen, or 0 for a new object.
 	Replaces uint64 `json:"replaces"`
 }
 
@@ -77,91 +77,95 @@
 	return nil
 }
 
-// Service makes changes.
+// Service makes changes. Except for SetPause, it is safe for concurrent use if its
+// store is.
 type Service struct {
 	store          Store
 	reviewRequired bool
 	now            func() time.Time
-	// accepted is told of each object that the store has taken.
-	accepted func(objectapi.Object)
-	// pause waits between attempts; it reports false when the context has ended.
+	// onAccepted is called with each object that the store has accepted.
+	onAccepted func(objectapi.Object)
+	// pause waits between attempts. It returns false if the context has ended.
 	pause func(ctx context.Context, duration time.Duration) bool
 }
 
-// New returns a service. Each object that the store takes is passed to accepted.
-func New(store Store, reviewRequired bool, now func() time.Time, accepted func(objectapi.Object)) *Service {
-	return &Service{store: store, reviewRequired: reviewRequired, now: now, accepted: accepted, pause: pause.For}
+// New returns a service. It calls onAccepted with each object that the store accepts.
+func New(store Store, reviewRequired bool, now func() time.Time, onAccepted func(objectapi.Object)) *Service {
+	return &Service{store: store, reviewRequired: reviewRequired, now: now, onAccepted: onAccepted, pause: pause.For}
 }
 
-// SetPause replaces how the service waits between attempts, for virtual time.
+// SetPause replaces the function that waits between attempts, for virtual time.
 func (s *Service) SetPause(pause func(ctx context.Context, duration time.Duration) bool) {
 	s.pause = pause
 }
 
-// putAttempts bounds how often a change is sent while its fate is unclear.
+// putAttempts is the maximum number of attempts to store a change.
 const putAttempts = 4
 
-// recorded is the part common to all values that remember operations.
-type recorded struct {
+// changeRecord holds the fields that all objects with a history have in common.
+type changeRecord struct {
 	Author     string                    `json:"author"`
 	Operations []configuration.Operation `json:"operations"`
 }
 
-// put stores a value, and finds out what became of it when the answer is lost.
-func (s *Service) put(ctx context.Context, key string, value any, change Change) (objectapi.Object, error) {
+// putWithRetry stores a value. It retries when the store is unavailable and when the
+// response is lost, and then detects whether an earlier attempt succeeded.
+func (s *Service) putWithRetry(ctx context.Context, key string, value any, change Change) (objectapi.Object, error) {
 	encoded, err := json.Marshal(value)
 	if err != nil {
 		return objectapi.Object{}, errors.Wrap(err, "encode object")
 	}
-	lost := false
+	answerLost := false
 	for attempt := range putAttempts {
-		if attempt > 0 && !s.pause(ctx, time.Duration(attempt)*lostAnswerPause) {
+		if attempt > 0 && !s.pause(ctx, time.Duration(attempt)*putRetryDelay) {
 			break
 		}
 		object, err := s.store.Put(ctx, key, encoded, change.Replaces)
 		if err == nil {
-			s.accepted(object)
+			s.onAccepted(object)
 			return object, nil
 		}
 		switch objectapi.KindOf(err) {
 		case objectapi.Conflict:
-			return s.conflict(ctx, key, change)
+			return s.resolveConflict(ctx, key, change)
 		case objectapi.AnswerLost:
-			lost = true
+			answerLost = true
 		case objectapi.Rejected:
 			return objectapi.Object{}, &Error{Kind: Invalid, Message: err.Error(), Remedy: "correct the change"}
 		}
 	}
-	if lost {
+	if answerLost {
 		return objectapi.Object{}, &Error{Kind: Uncertain, Message: "the store's answer was lost: the change may have taken effect", Remedy: "send the same operation again: it is not applied twice"}
 	}
 	return objectapi.Object{}, &Error{Kind: Unavailable, Message: "the store cannot be reached; the change was not made", Remedy: "send the same operation again later"}
 }
 
-// lostAnswerPause is the pause before a change is sent again, times the attempt.
-const lostAnswerPause = 100 * time.Millisecond
+// putRetryDelay is the delay before the first retry. It grows linearly.
+const putRetryDelay = 100 * time.Millisecond
 
-// conflict finds out whether the conflicting version holds this very operation.
-func (s *Service) conflict(ctx context.Context, key string, change Change) (objectapi.Object, error) {
+// resolveConflict returns the current object if it already contains the operation of
+// the change, and a Conflict error otherwise.
+func (s *Service) resolveConflict(ctx context.Context, key string, change Change) (objectapi.Object, error) {
 	current, err := s.store.Get(ctx, key)
 	if err != nil {
 		return objectapi.Object{}, &Error{Kind: Uncertain, Message: "the object has changed, and the store cannot be read now", Remedy: "send the same operation again: it is not applied twice"}
 	}
-	winner := recorded{}
-	if err := json.Unmarshal(current.Value, &winner); err != nil {
+	record := changeRecord{}
+	if err := json.Unmarshal(current.Value, &record); err != nil {
 		return objectapi.Object{}, errors.Wrap(err, "decode object")
 	}
-	if configuration.HasOperation(winner.Operations, change.Operation) {
-		s.accepted(current)
+	if configuration.HasOperation(record.Operations, change.Operation) {
+		s.onAccepted(current)
 		return current, nil
 	}
 	return objectapi.Object{}, &Error{
-		Kind: Conflict, Message: fmt.Sprintf("version %d was replaced: the object is at version %d by %s", change.Replaces, current.Version, winner.Author),
-		Remedy: "read the new version, compare, and replace it", WinnerVersion: current.Version, WinnerAuthor: winner.Author,
+		Kind: Conflict, Message: fmt.Sprintf("version %d was replaced: the object is at version %d by %s", change.Replaces, current.Version, record.Author),
+		Remedy: "read the new version, compare, and replace it", WinnerVersion: current.Version, WinnerAuthor: record.Author,
 	}
 }
 
-// load returns an object's value; a missing object leaves the value untouched.
+// load decodes an object into value and returns its version. If the object does not
+// exist, it returns 0 and leaves value unchanged.
 func (s *Service) load(ctx context.Context, key string, value any) (uint64, error) {
 	object, err := s.store.Get(ctx, key)
 	if err != nil {
@@ -173,24 +177,25 @@
 	return object.Version, errors.Wrap(json.Unmarshal(object.Value, value), "decode object")
 }
 
-func (s *Service) operation(change Change) configuration.Operation {
+func (s *Service) newOperation(change Change) configuration.Operation {
 	return configuration.Operation{ID: change.Operation, Author: change.Author, At: s.now().UTC(), Note: change.Note, Version: change.Replaces}
 }
 
-// Outcome tells what became of a change.
+// Outcome is the result of a change.
 type Outcome struct {
 	// Version is the new version of the object.
 	Version uint64 `json:"version"`
-	// InForce is false for a policy that waits for review.
+	// InForce is false if a policy waits for review.
 	InForce bool `json:"in_force"`
 }
 
-// SubmitPolicy checks a policy and puts it in force, or in line for review.
+// SubmitPolicy compiles a policy and activates it, or stores a proposal if reviews
+// are required.
 func (s *Service) SubmitPolicy(ctx context.Context, service string, source []byte, change Change) (Outcome, error) {
 	if err := change.check(); err != nil {
 		return Outcome{}, err
 	}
-	table, err := compile(service, source)
+	table, err := compilePolicy(service, source)
 	if err != nil {
 		return Outcome{}, err
 	}
@@ -200,12 +205,16 @@
 	return s.replacePolicy(ctx, service, string(source), table, "", change)
 }
 
-func compile(service string, source []byte) (*policy.Table, error) {
+func compilePolicy(service string, source []byte) (*policy.Table, error) {
 	table, err := policy.Compile(service+".star", source)
 	if err != nil {
-		var fault *policy.Error
-		if errors.As(err, &fault) {
-			return nil, &Error{Kind: Invalid, Message: fmt.Sprintf("%s:%d:%d: %s", fault.File, fault.Line, fault.Column, fault.Message), Remedy: fault.Remedy}
+		var compileErr *policy.Error
+		if errors.As(err, &compileErr) {
+			return nil, &Error{
+				Kind:    Invalid,
+				Message: fmt.Sprintf("%s:%d:%d: %s", compileErr.File, compileErr.Line, compileErr.Column, compileErr.Message),
+				Remedy:  compileErr.Remedy,
+			}
 		}
 		return nil, err
 	}
@@ -227,9 +236,9 @@
 	}
 	next := configuration.Policy{
 		Source: source, Table: table, Author: change.Author, Approver: approver,
-		Operations: configuration.WithOperation(current.Operations, s.operation(change)),
+		Operations: configuration.WithOperation(current.Operations, s.newOperation(change)),
 	}
-	object, err := s.put(ctx, key, next, change)
+	object, err := s.putWithRetry(ctx, key, next, change)
 	return Outcome{Version: object.Version, InForce: err == nil}, err
 }
 
@@ -245,15 +254,15 @@
 	}
 	proposal := configuration.Proposal{
 		Source: string(source), Author: change.Author, Replaces: change.Replaces,
-		Operations: configuration.WithOperation(current.Operations, s.operation(change)),
+		Operations: configuration.WithOperation(current.Operations, s.newOperation(change)),
 	}
 	change.Replaces = version
-	object, err := s.put(ctx, key, proposal, change)
+	object, err := s.putWithRetry(ctx, key, proposal, change)
 	return Outcome{Version: object.Version}, err
 }
 
-// ApprovePolicy puts a proposed policy in force. change.Replaces names the
-// version of the proposal that was reviewed; the author cannot approve.
+// ApprovePolicy activates a proposed policy. change.Replaces is the version of the
+// proposal that was reviewed. The author of a proposal cannot approve it.
 func (s *Service) ApprovePolicy(ctx context.Context, service string, change Change) (Outcome, error) {
 	if err := change.check(); err != nil {
 		return Outcome{}, err
@@ -270,7 +279,7 @@
 	case proposal.Author == change.Author:
 		return Outcome{}, &Error{Kind: ReviewNeeded, Message: "the author cannot approve a policy alone", Remedy: "let another operator review it"}
 	}
-	table, err := compile(service, []byte(proposal.Source))
+	table, err := compilePolicy(service, []byte(proposal.Source))
 	if err != nil {
 		return Outcome{}, err
 	}
@@ -279,7 +288,8 @@
 	return s.replacePolicy(ctx, service, proposal.Source, table, change.Author, approval)
 }
 
-// Mark marks a node or server as leaving, or takes the mark away.
+// Mark sets or clears the leaving mark of a node or server. key is the object key of
+// the mark.
 func (s *Service) Mark(ctx context.Context, key string, leaving bool, change Change) (Outcome, error) {
 	if err := change.check(); err != nil {
 		return Outcome{}, err
@@ -293,20 +303,23 @@
 		return Outcome{Version: version, InForce: true}, nil
 	}
 	change.Replaces = version
-	next := configuration.Mark{Leaving: leaving, Author: change.Author, Operations: configuration.WithOperation(current.Operations, s.operation(change))}
-	object, err := s.put(ctx, key, next, change)
+	next := configuration.Mark{
+		Leaving: leaving, Author: change.Author,
+		Operations: configuration.WithOperation(current.Operations, s.newOperation(change)),
+	}
+	object, err := s.putWithRetry(ctx, key, next, change)
 	return Outcome{Version: object.Version, InForce: err == nil}, err
 }
 
-// groupObject and userObject add the operations that every object remembers.
+// groupObject and userObject are the stored values of groups and users.
 type groupObject struct {
 	configuration.Group
-	recorded
+	changeRecord
 }
 
 type userObject struct {
 	configuration.User
-	recorded
+	changeRecord
 }
 
 // SetGroup stores a database group's configuration.
@@ -317,17 +330,17 @@
 	if err := group.Check(); err != nil {
 		return Outcome{}, &Error{Kind: Invalid, Message: err.Error(), Remedy: "correct the group"}
 	}
-	value := groupObject{group, recorded{change.Author, []configuration.Operation{s.operation(change)}}}
-	object, err := s.put(ctx, configuration.GroupPrefix+group.Name, value, change)
+	value := groupObject{group, changeRecord{change.Author, []configuration.Operation{s.newOperation(change)}}}
+	object, err := s.putWithRetry(ctx, configuration.GroupPrefix+group.Name, value, change)
 	return Outcome{Version: object.Version, InForce: err == nil}, err
 }
 
-// SetUser stores a caller's verifier.
+// SetUser stores the credentials of a caller.
 func (s *Service) SetUser(ctx context.Context, name string, user configuration.User, change Change) (Outcome, error) {
 	if err := change.check(); err != nil {
 		return Outcome{}, err
 	}
-	value := userObject{user, recorded{change.Author, []configuration.Operation{s.operation(change)}}}
-	object, err := s.put(ctx, configuration.UserPrefix+name, value, change)
+	value := userObject{user, changeRecord{change.Author, []configuration.Operation{s.newOperation(change)}}}
+	object, err := s.putWithRetry(ctx, configuration.UserPrefix+name, value, change)
 	return Outcome{Version: object.Version, InForce: err == nil}, err
 }
--- a/internal/postgres/administration/administration_test.go
+++ b/internal/postgres/administration/administration_test.go
@@ -16,12 +16,12 @@
 	"dewknot/internal/postgres/objectapi"
 )
 
-// memoryStore is the store with faults on demand.
+// memoryStore is an in-memory Store with fault injection.
 type memoryStore struct {
 	objects  map[string]objectapi.Object
 	revision uint64
-	// faults decides for each change: 0 none, 1 answer lost after the change,
-	// 2 request lost before it.
+	// faults holds the fault of each change: 0 for none, 1 for a lost response,
+	// 2 for a lost request.
 	faults []int
 	puts   int
 }
@@ -63,43 +63,43 @@
 	return s.Put(context.Background(), key, nil, version)
 }
 
-func service(store Store, review bool) *Service {
-	created := New(store, review, func() time.Time { return time.Unix(0, 0) }, func(objectapi.Object) {})
-	created.SetPause(func(context.Context, time.Duration) bool { return true })
-	return created
+func newService(store Store, reviewRequired bool) *Service {
+	result := New(store, reviewRequired, func() time.Time { return time.Unix(0, 0) }, func(objectapi.Object) {})
+	result.SetPause(func(context.Context, time.Duration) bool { return true })
+	return result
 }
 
-func source(wait int) []byte {
+func policySource(wait int) []byte {
 	return fmt.Appendf(nil, "service(\"bookings\")\ndefault(wait = \"%dms\")\n", wait)
 }
 
-func change(operation, author string, replaces uint64) Change {
+func newChange(operation, author string, replaces uint64) Change {
 	return Change{Operation: operation, Author: author, Replaces: replaces}
 }
 
 func requireKind(t must.T, err error, kind Kind) *Error {
 	t.Helper()
-	var refusal *Error
-	must.True(t, errors.As(err, &refusal), must.Sprint(err))
-	must.Eq(t, kind, refusal.Kind)
-	return refusal
+	var rejection *Error
+	must.True(t, errors.As(err, &rejection), must.Sprint(err))
+	must.Eq(t, kind, rejection.Kind)
+	return rejection
 }
 
-// Of operators who replace the same version, exactly one wins, whatever answers
-// and requests get lost; nothing is applied twice.
-func TestExactlyOneWins(t *testing.T) {
+// Only one of several operators who replace the same version may succeed, and no
+// change may be applied twice, even if requests or responses get lost.
+func TestOneConcurrentChangeWins(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := newMemoryStore(rapid.SliceOfN(rapid.IntRange(0, 2), 0, 12).Draw(t, "faults")...)
 		ctx := context.Background()
 		operators := rapid.IntRange(2, 4).Draw(t, "operators")
 		winners, uncertain := 0, 0
 		for index := range operators {
-			_, err := service(store, false).SubmitPolicy(ctx, "bookings", source(index+1), change(fmt.Sprint("operation", index), fmt.Sprint("operator", index), 0))
-			var refusal *Error
+			_, err := newService(store, false).SubmitPolicy(ctx, "bookings", policySource(index+1), newChange(fmt.Sprint("operation", index), fmt.Sprint("operator", index), 0))
+			var rejection *Error
 			switch {
 			case err == nil:
 				winners++
-			case errors.As(err, &refusal) && refusal.Kind == Uncertain:
+			case errors.As(err, &rejection) && rejection.Kind == Uncertain:
 				uncertain++
 			default:
 				requireKind(t, err, Conflict)
@@ -113,45 +113,47 @@
 	})
 }
 
-func TestLostAnswerIsFoundAgain(t *testing.T) {
+// A change whose response was lost must not be applied again.
+func TestChangeWithLostAnswerIsAppliedOnce(t *testing.T) {
 	store := newMemoryStore(1)
 	ctx := context.Background()
-	outcome, err := service(store, false).SubmitPolicy(ctx, "bookings", source(1), change("one", "ann", 0))
+	outcome, err := newService(store, false).SubmitPolicy(ctx, "bookings", policySource(1), newChange("one", "ann", 0))
 	must.NoError(t, err)
 	must.Eq(t, Outcome{Version: 1, InForce: true}, outcome)
 	must.Eq(t, 1, store.puts)
-	again, err := service(store, false).SubmitPolicy(ctx, "bookings", source(1), change("one", "ann", 0))
+	again, err := newService(store, false).SubmitPolicy(ctx, "bookings", policySource(1), newChange("one", "ann", 0))
 	must.NoError(t, err)
 	must.Eq(t, outcome, again)
 	must.Eq(t, 1, store.puts)
-	_, err = service(newMemoryStore(2, 2, 2, 2), false).SubmitPolicy(ctx, "bookings", source(1), change("one", "ann", 0))
+	_, err = newService(newMemoryStore(2, 2, 2, 2), false).SubmitPolicy(ctx, "bookings", policySource(1), newChange("one", "ann", 0))
 	requireKind(t, err, Uncertain)
 }
 
-func TestConflictNamesTheWinner(t *testing.T) {
+func TestConflictReportsWinner(t *testing.T) {
 	store := newMemoryStore()
 	ctx := context.Background()
-	_, err := service(store, false).SubmitPolicy(ctx, "bookings", source(1), change("one", "ann", 0))
+	_, err := newService(store, false).SubmitPolicy(ctx, "bookings", policySource(1), newChange("one", "ann", 0))
 	must.NoError(t, err)
-	_, err = service(store, false).SubmitPolicy(ctx, "bookings", source(2), change("two", "bob", 0))
-	refusal := requireKind(t, err, Conflict)
-	must.Eq(t, "ann", refusal.WinnerAuthor)
-	must.Eq(t, 1, refusal.WinnerVersion)
+	_, err = newService(store, false).SubmitPolicy(ctx, "bookings", policySource(2), newChange("two", "bob", 0))
+	rejection := requireKind(t, err, Conflict)
+	must.Eq(t, "ann", rejection.WinnerAuthor)
+	must.Eq(t, 1, rejection.WinnerVersion)
 }
 
-// The author cannot approve alone; another operator can, and only what was reviewed.
-func TestReview(t *testing.T) {
+// A policy must not become active unless another operator approves the reviewed
+// version.
+func TestApprovalNeedsAnotherOperator(t *testing.T) {
 	store := newMemoryStore()
 	ctx := context.Background()
-	reviewed := service(store, true)
-	proposed, err := reviewed.SubmitPolicy(ctx, "bookings", source(1), change("one", "ann", 0))
+	reviewed := newService(store, true)
+	proposed, err := reviewed.SubmitPolicy(ctx, "bookings", policySource(1), newChange("one", "ann", 0))
 	must.NoError(t, err)
 	must.False(t, proposed.InForce)
-	_, err = reviewed.ApprovePolicy(ctx, "bookings", change("two", "ann", proposed.Version))
+	_, err = reviewed.ApprovePolicy(ctx, "bookings", newChange("two", "ann", proposed.Version))
 	requireKind(t, err, ReviewNeeded)
-	_, err = reviewed.ApprovePolicy(ctx, "bookings", change("three", "bob", proposed.Version+1))
+	_, err = reviewed.ApprovePolicy(ctx, "bookings", newChange("three", "bob", proposed.Version+1))
 	requireKind(t, err, Conflict)
-	approved, err := reviewed.ApprovePolicy(ctx, "bookings", change("four", "bob", proposed.Version))
+	approved, err := reviewed.ApprovePolicy(ctx, "bookings", newChange("four", "bob", proposed.Version))
 	must.NoError(t, err)
 	must.True(t, approved.InForce)
 	object, err := store.Get(ctx, configuration.PolicyPrefix+"bookings")
@@ -164,12 +166,12 @@
 
 func TestInvalidChanges(t *testing.T) {
 	ctx := context.Background()
-	_, err := service(newMemoryStore(), false).SubmitPolicy(ctx, "exams", source(1), change("one", "ann", 0))
+	_, err := newService(newMemoryStore(), false).SubmitPolicy(ctx, "exams", policySource(1), newChange("one", "ann", 0))
 	requireKind(t, err, Invalid)
-	_, err = service(newMemoryStore(), false).SubmitPolicy(ctx, "bookings", []byte("service("), change("one", "ann", 0))
+	_, err = newService(newMemoryStore(), false).SubmitPolicy(ctx, "bookings", []byte("service("), newChange("one", "ann", 0))
 	requireKind(t, err, Invalid)
-	_, err = service(newMemoryStore(), false).SubmitPolicy(ctx, "bookings", source(1), Change{})
+	_, err = newService(newMemoryStore(), false).SubmitPolicy(ctx, "bookings", policySource(1), Change{})
 	requireKind(t, err, Invalid)
-	_, err = service(newMemoryStore(), false).SetGroup(ctx, configuration.Group{Name: "x"}, change("one", "ann", 0))
+	_, err = newService(newMemoryStore(), false).SetGroup(ctx, configuration.Group{Name: "x"}, newChange("one", "ann", 0))
 	requireKind(t, err, Invalid)
 }
