--- a/internal/postgres/node/node.go
+++ b/internal/postgres/node/node.go
@@ -1,5 +1,5 @@
-// Package node runs a dewknot node: it drives the reducers and connects them to
-// sockets, the platform and the callers.
+// Package node runs a dewknot node. It passes events of the network, the platform and
+// the callers to the node's reducers and executes the effects that they return.
 package node
 
 import (
@@ -25,57 +25,57 @@
 	"dewknot/internal/postgres/peer"
 )
 
-// Node is a running node.
+// Node is a running node. Its methods are safe for concurrent use.
 type Node struct {
 	settings settings.Node
 	log      *zap.Logger
 	started  time.Time
 
-	mu      sync.Mutex // guards control and wake
-	control *core.Control
-	wake    *time.Timer
-
-	view      atomic.Pointer[core.View]
-	store     *objectapi.Client
-	transport *gossip.Transport
-	peers     *peer.Listener
-	router    *forward.Router
-	groups    *owner.Groups
-	callers   *listener.Server
-	admin     *administration.Service
-	// GossipCounters and OwnerCounters feed the metrics page.
+	mu        sync.Mutex // guards control and tickTimer
+	control   *core.Control
+	tickTimer *time.Timer
+
+	view         atomic.Pointer[core.View]
+	store        *objectapi.Client
+	transport    *gossip.Transport
+	peerListener *peer.Listener
+	router       *forward.Router
+	groups       *owner.Groups
+	callerServer *listener.Server
+	admin        *administration.Service
+	// GossipCounters and OwnerCounters are exported as metrics.
 	GossipCounters gossip.Counters
 	OwnerCounters  owner.Counters
 
-	ctx      context.Context
-	cancel   context.CancelFunc
-	done     sync.WaitGroup
-	watchEnd context.CancelFunc
-	draining atomic.Bool
-	// drainOnce makes every caller of Drain wait for the one drain.
+	ctx         context.Context
+	cancel      context.CancelFunc
+	wg          sync.WaitGroup
+	cancelWatch context.CancelFunc
+	draining    atomic.Bool
+	// drainOnce makes all calls of Drain wait for the same drain.
 	drainOnce sync.Once
-	// freshUntil ends the time in which this node may begin new work, as a
+	// freshUntil is the time until which this node may begin new work, as a
 	// duration since its start.
 	freshUntil atomic.Int64
 }
 
-// storeTimeout bounds one request to the store, watches aside.
+// storeTimeout is the timeout of a request to the store.
 const storeTimeout = 15 * time.Second
 
-// Start opens a node's addresses and joins the fleet.
-func Start(config settings.Node, log *zap.Logger) (*Node, error) {
-	if err := config.Check(); err != nil {
+// Start starts a node: it listens on the configured addresses and joins the fleet.
+func Start(cfg settings.Node, log *zap.Logger) (*Node, error) {
+	if err := cfg.Check(); err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	created := &Node{settings: config, log: log, started: time.Now(), ctx: ctx, cancel: cancel}
-	created.store = objectapi.NewClient(config.Store, storeTimeout)
-	if err := created.open(); err != nil {
-		created.Close()
+	n := &Node{settings: cfg, log: log, started: time.Now(), ctx: ctx, cancel: cancel}
+	n.store = objectapi.NewClient(cfg.Store, storeTimeout)
+	if err := n.open(); err != nil {
+		n.Close()
 		return nil, err
 	}
-	created.run()
-	return created, nil
+	n.run()
+	return n, nil
 }
 
 func (n *Node) open() error {
@@ -90,35 +90,38 @@
 	if n.transport, err = gossip.Listen(n.settings.Gossip, keys, &n.GossipCounters); err != nil {
 		return err
 	}
-	if n.peers, err = peer.Listen(n.settings.Peer, n.settings.ID, keys, n.groups, n, n.log); err != nil {
+	if n.peerListener, err = peer.Listen(n.settings.Peer, n.settings.ID, keys, n.groups, n, n.log); err != nil {
 		return err
 	}
 	incarnation := uint64(n.started.UnixMilli())
 	self := membership.Member{
 		ID: n.settings.ID, Zone: n.settings.Zone, Incarnation: incarnation,
-		Addresses: membership.Addresses{Gossip: n.transport.Address(), Peer: n.peers.Address(), Operator: n.settings.Operator},
+		Addresses: membership.Addresses{
+			Gossip: n.transport.Address(), Peer: n.peerListener.Address(), Operator: n.settings.Operator,
+		},
 	}
 	machine := membership.New(membership.DefaultSettings(), self, n.settings.Seeds, incarnation)
 	n.control = core.NewControl(machine)
 	n.admin = administration.New(n.store, n.settings.ReviewRequired, time.Now, func(object objectapi.Object) {
 		n.step(core.Accepted{Object: object})
 	})
-	n.wake = time.AfterFunc(time.Hour, func() { n.step(core.Tick{}) })
-	n.step(core.Tick{}) // publishes the first view, which listeners need
-	limits := listener.Settings{
+	n.tickTimer = time.AfterFunc(time.Hour, func() { n.step(core.Tick{}) })
+	n.step(core.Tick{}) // publishes the first view, which the listener for callers needs
+	listenerSettings := listener.Settings{
 		Epoch: incarnation<<16 | uint64(hash16(n.settings.ID)), MaxMessageBytes: n.settings.MaxMessageBytes,
 		MaxConnections: n.settings.MaxConnections, StartupTimeout: startupTimeout,
 		Authenticate: n.settings.Authentication != "trust",
 	}
-	limits.Fresh = n.Fresh
-	n.callers, err = listener.Listen(n.settings.Listen, limits, n.router, n.log)
+	listenerSettings.Fresh = n.Fresh
+	n.callerServer, err = listener.Listen(n.settings.Listen, listenerSettings, n.router, n.log)
 	return err
 }
 
-// startupTimeout bounds a caller's connecting and authenticating.
+// startupTimeout is the timeout for a caller to connect and authenticate.
 const startupTimeout = 10 * time.Second
 
-// hash16 keeps the epochs of nodes that start in the same millisecond apart.
+// hash16 returns an FNV-1a hash folded to 16 bits. It distinguishes the epochs of
+// nodes that start in the same millisecond.
 func hash16(text string) uint16 {
 	const offset, prime = 2166136261, 16777619
 	hash := uint32(offset)
@@ -129,46 +132,49 @@
 }
 
 func (n *Node) run() {
-	n.goDo(func() {
+	n.spawn(func() {
 		n.transport.Receive(func(message membership.Message) { n.step(core.Datagram{Message: message}) })
 	})
-	n.goDo(n.joinFromStore)
-	n.goDo(n.maintain)
-	n.log.Info("node: started", zap.String("id", n.settings.ID), zap.String("zone", n.settings.Zone), zap.String("listen", n.callers.Address()))
+	n.spawn(n.joinFromStore)
+	n.spawn(n.maintain)
+	n.log.Info("node: started", zap.String("id", n.settings.ID), zap.String("zone", n.settings.Zone),
+		zap.String("listen", n.callerServer.Address()))
 }
 
-func (n *Node) goDo(work func()) {
+// spawn runs work in a goroutine for which Close waits. It does nothing once the node
+// is closed.
+func (n *Node) spawn(work func()) {
 	if n.ctx.Err() != nil {
 		return
 	}
-	n.done.Add(1)
+	n.wg.Add(1)
 	go func() {
-		defer n.done.Done()
+		defer n.wg.Done()
 		work()
 	}()
 }
 
 func (n *Node) now() time.Duration { return time.Since(n.started) }
 
-// step applies an event to the control reducer and carries out its effects.
+// step applies an event to the control reducer and executes the returned effects.
 func (n *Node) step(event core.Event) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.now()
 	for _, effect := range n.control.Step(now, event) {
-		n.carryOut(effect)
+		n.execute(effect)
 	}
 	if n.ctx.Err() == nil {
-		n.wake.Reset(n.control.NextWake() - now)
+		n.tickTimer.Reset(n.control.NextWake() - now)
 	}
 }
 
-func (n *Node) carryOut(effect core.Effect) {
+func (n *Node) execute(effect core.Effect) {
 	switch typed := effect.(type) {
 	case core.Send:
 		n.transport.Send(typed.To, &typed.Message)
 	case core.StartSync:
-		n.goDo(func() { n.syncWith(typed) })
+		n.spawn(func() { n.syncWith(typed) })
 	case core.WatchStore:
 		n.setWatch(typed.On)
 	case core.Publish:
@@ -179,34 +185,35 @@
 	}
 }
 
-// publish puts a view in force: by one atomic store for the request path, and by
-// taking over or letting go groups, which is done aside.
+// publish activates a view. The request path sees it at once through an atomic
+// pointer; maintain later starts and stops the ownership of groups.
 func (n *Node) publish(view *core.View) {
 	before := n.view.Swap(view)
 	n.router.Update(view)
 	n.groups.SetView(view)
-	n.dropLost(before, view)
+	n.dropRemovedMembers(before, view)
 	if view.Ready && (before == nil || !before.Ready) {
 		n.log.Info("node: ready", zap.Uint64("revision", view.Digest.Complete), zap.Int("members", len(view.Members)))
 	}
 }
 
-// Fresh reports whether the node's knowledge of policies and marks is recent.
+// Fresh reports whether the node's policies and marks are recent enough to begin new
+// work.
 func (n *Node) Fresh() bool { return int64(n.now()) < n.freshUntil.Load() }
 
-// dropLost closes the links from nodes that were members and are no longer.
-func (n *Node) dropLost(before, after *core.View) {
-	if before == nil || n.peers == nil {
+// dropRemovedMembers closes the links from nodes that are no longer members.
+func (n *Node) dropRemovedMembers(before, after *core.View) {
+	if before == nil || n.peerListener == nil {
 		return
 	}
 	for _, member := range before.Members {
 		if _, remains := after.Member(member.ID); !remains {
-			n.peers.Drop(member.ID)
+			n.peerListener.Drop(member.ID)
 		}
 	}
 }
 
-// View returns the view in force.
+// View returns the current view.
 func (n *Node) View() *core.View { return n.view.Load() }
 
 // AnswerSync implements peer.SyncSource.
@@ -216,13 +223,13 @@
 	return n.control.AnswerSync(since, membersDigest)
 }
 
-// syncLimit bounds one synchronization with a peer.
-const syncLimit = 2 * time.Second
+// syncTimeout is the timeout of a synchronization with a peer.
+const syncTimeout = 2 * time.Second
 
 func (n *Node) syncWith(effect core.StartSync) {
 	answer := core.SyncAnswer{Peer: effect.Peer, Failed: true}
 	if client := n.router.Client(effect.Peer); client != nil {
-		ctx, cancel := context.WithTimeout(n.ctx, syncLimit)
+		ctx, cancel := context.WithTimeout(n.ctx, syncTimeout)
 		state, err := client.Sync(ctx, effect.Since, effect.Members)
 		cancel()
 		answer.Answer, answer.Failed = state, err != nil
@@ -230,10 +237,11 @@
 	n.step(answer)
 }
 
-// maintenanceInterval is the time between looks at groups to take over or let go.
+// maintenanceInterval is the interval at which a new view is applied to the groups.
 const maintenanceInterval = 200 * time.Millisecond
 
-// maintain follows views at a bounded rate, since a lost zone brings many at once.
+// maintain applies new views to the groups at a limited rate, because the loss of a
+// zone causes many views within a short time.
 func (n *Node) maintain() {
 	ticker := time.NewTicker(maintenanceInterval)
 	defer ticker.Stop()
@@ -251,59 +259,59 @@
 func (n *Node) drainIfMarked() {
 	view := n.view.Load()
 	if view.Config.LeavingNodes[n.settings.ID] && !n.draining.Load() {
-		n.log.Info("node: marked for a planned stop, draining")
-		n.goDo(func() { n.Drain() })
+		n.log.Info("node: marked as leaving; draining")
+		n.spawn(func() { n.Drain() })
 	}
 }
 
-// Drain stops taking new work, lets work in progress end within the drain limit
-// and returns when nothing is left. Whoever calls it while it is under way, as a
-// signal after a mark does, waits for the same end.
+// Drain rejects new work and waits until the work in progress has finished or the
+// drain limit has passed. Concurrent calls, such as after a signal that follows a
+// leaving mark, wait for the same drain.
 func (n *Node) Drain() { n.drainOnce.Do(n.drain) }
 
 func (n *Node) drain() {
 	n.draining.Store(true)
-	limit := n.settings.DrainLimit.Duration
-	deadline := time.Now().Add(limit)
+	timeout := n.settings.DrainLimit.Duration
+	deadline := time.Now().Add(timeout)
 	n.step(core.Drain{})
-	n.callers.Drain(limit)
+	n.callerServer.Drain(timeout)
 	n.groups.Drain()
 	for n.groups.Busy() > 0 && time.Now().Before(deadline) {
-		time.Sleep(drainPoll)
+		time.Sleep(drainPollInterval)
 	}
 	n.log.Info("node: drained", zap.Int("left", n.groups.Busy()))
 }
 
-// drainPoll is the time between looks at what still drains.
-const drainPoll = 20 * time.Millisecond
+// drainPollInterval is the interval between checks for work in progress.
+const drainPollInterval = 20 * time.Millisecond
 
-// Draining reports whether the node is being stopped as planned.
+// Draining reports whether the node is draining before a planned shutdown.
 func (n *Node) Draining() bool { return n.draining.Load() }
 
-// Close ends the node at once.
+// Close stops the node without draining and waits for its goroutines.
 func (n *Node) Close() {
 	n.cancel()
-	if n.wake != nil {
-		n.wake.Stop()
+	if n.tickTimer != nil {
+		n.tickTimer.Stop()
 	}
-	if n.callers != nil {
-		n.callers.Close()
+	if n.callerServer != nil {
+		n.callerServer.Close()
 	}
-	if n.peers != nil {
-		n.peers.Close()
+	if n.peerListener != nil {
+		n.peerListener.Close()
 	}
 	if n.transport != nil {
 		n.transport.Close()
 	}
 	n.router.Close()
 	n.groups.Close()
-	n.done.Wait()
+	n.wg.Wait()
 }
 
-// CallerAddress returns the address for callers.
-func (n *Node) CallerAddress() string { return n.callers.Address() }
+// CallerAddress returns the address on which the node listens for callers.
+func (n *Node) CallerAddress() string { return n.callerServer.Address() }
 
-// GossipAddress returns the address of the membership protocol.
+// GossipAddress returns the address of the node's gossip socket.
 func (n *Node) GossipAddress() string { return n.transport.Address() }
 
 // Administration returns the service that changes configuration.
@@ -316,7 +324,7 @@
 	return n.control.Configuration().Get(key)
 }
 
-// NodeStatus is what operators see of a node.
+// NodeStatus is the state of a node for operators.
 type NodeStatus struct {
 	ID            string                  `json:"id"`
 	Zone          string                  `json:"zone"`
@@ -339,7 +347,7 @@
 	view := n.view.Load()
 	status := NodeStatus{
 		ID: n.settings.ID, Zone: n.settings.Zone, Ready: view.Ready, Draining: n.draining.Load(), Reader: view.IsReader(),
-		Revision: view.Digest.Complete, Callers: n.callers.Connected(), Members: view.Members,
+		Revision: view.Digest.Complete, Callers: n.callerServer.Connected(), Members: view.Members,
 		Policies: map[string]uint64{}, Groups: n.groups.Status(), Faults: view.Config.Faults, BusyRequests: n.groups.Busy(),
 	}
 	for service, policy := range view.Config.Policies {
@@ -354,24 +362,25 @@
 	return status
 }
 
-// Callers returns the edge's counters.
-func (n *Node) Callers() *listener.Server { return n.callers }
+// Callers returns the listener for callers, for its counters.
+func (n *Node) Callers() *listener.Server { return n.callerServer }
 
 // Router returns the router, for its counters.
 func (n *Node) Router() *forward.Router { return n.router }
 
-// PolicySource returns a policy in force and its version; the version is 0 if
-// the service has none.
+// PolicySource returns the active policy of a service and its version. The version is
+// 0 if the service has no policy.
 func (n *Node) PolicySource(service string) (configuration.Policy, uint64, error) {
-	return typedObject[configuration.Policy](n, configuration.PolicyPrefix+service)
+	return decodeObject[configuration.Policy](n, configuration.PolicyPrefix+service)
 }
 
-// Proposal returns the policy that waits for review.
+// Proposal returns the service's policy that waits for review and its version. The
+// version is 0 if there is none.
 func (n *Node) Proposal(service string) (configuration.Proposal, uint64, error) {
-	return typedObject[configuration.Proposal](n, configuration.ProposalPrefix+service)
+	return decodeObject[configuration.Proposal](n, configuration.ProposalPrefix+service)
 }
 
-func typedObject[T any](n *Node, key string) (T, uint64, error) {
+func decodeObject[T any](n *Node, key string) (T, uint64, error) {
 	var value T
 	object, ok := n.Object(key)
 	if !ok {
--- a/internal/postgres/node/store.go
+++ b/internal/postgres/node/store.go
@@ -15,15 +15,15 @@
 
 func unmarshal(data []byte, target any) error { return json.Unmarshal(data, target) }
 
-// Intervals towards the store.
+// Durations and intervals of requests to the store.
 const (
-	// peersFirst is how long a newcomer tries its peers before it reads the whole
-	// configuration from the store, which bears only a few readers.
-	peersFirst      = time.Second
-	watchWait       = 2 * time.Second
-	machineInterval = 5 * time.Second
-	minimumBackoff  = 100 * time.Millisecond
-	maximumBackoff  = 3 * time.Second
+	// storeListDelay is how long a starting node asks its peers before it reads the
+	// complete configuration from the store, which can serve only a few readers.
+	storeListDelay      = time.Second
+	watchDuration       = 2 * time.Second
+	machinePollInterval = 5 * time.Second
+	minimumBackoff      = 100 * time.Millisecond
+	maximumBackoff      = 3 * time.Second
 )
 
 func newBackoff() *backoff.ExponentialBackOff {
@@ -33,19 +33,20 @@
 	return policy
 }
 
-// joinFromStore asks the store until the node is ready: for what is newer than
-// peers have told, or, if they tell nothing, for the whole configuration.
+// joinFromStore reads from the store until the node is ready. It reads the changes
+// since the configuration received from peers, or the complete configuration if peers
+// have not sent any.
 func (n *Node) joinFromStore() {
 	retry := newBackoff()
 	for n.ctx.Err() == nil && !n.view.Load().Ready {
-		since, askedAt := n.complete(), n.now()
+		since, requestedAt := n.completeRevision(), n.now()
 		switch {
 		case since > 0:
 			listing, err := n.store.Watch(n.ctx, since, 0)
-			n.storeAnswered(since, askedAt, listing, err)
-		case len(n.settings.Seeds) == 0 || askedAt >= peersFirst:
+			n.applyListing(since, requestedAt, listing, err)
+		case len(n.settings.Seeds) == 0 || requestedAt >= storeListDelay:
 			listing, err := n.store.List(n.ctx, "")
-			n.storeAnswered(since, askedAt, listing, err)
+			n.applyListing(since, requestedAt, listing, err)
 		}
 		if !pause.For(n.ctx, retry.NextBackOff()) {
 			return
@@ -53,36 +54,36 @@
 	}
 }
 
-func (n *Node) storeAnswered(since uint64, askedAt time.Duration, listing objectapi.Listing, err error) {
+func (n *Node) applyListing(since uint64, requestedAt time.Duration, listing objectapi.Listing, err error) {
 	if err != nil {
-		n.log.Debug("node: the store does not answer", zap.Error(err))
+		n.log.Debug("node: request to the store failed", zap.Error(err))
 		return
 	}
-	n.step(core.StoreListing{Since: since, Objects: listing.Objects, Complete: listing.Revision, AskedAt: askedAt})
+	n.step(core.StoreListing{Since: since, Objects: listing.Objects, Complete: listing.Revision, AskedAt: requestedAt})
 }
 
-// setWatch begins or ends watching the store; n.mu is held.
+// setWatch starts or stops watching the store. The caller must hold n.mu.
 func (n *Node) setWatch(on bool) {
-	if n.watchEnd != nil {
-		n.watchEnd()
-		n.watchEnd = nil
+	if n.cancelWatch != nil {
+		n.cancelWatch()
+		n.cancelWatch = nil
 	}
 	if !on {
 		return
 	}
 	ctx, cancel := context.WithCancel(n.ctx)
-	n.watchEnd = cancel
+	n.cancelWatch = cancel
 	n.log.Info("node: watching the store")
-	n.goDo(func() { n.watchStore(ctx) })
-	n.goDo(func() { n.watchMachines(ctx) })
+	n.spawn(func() { n.watchStore(ctx) })
+	n.spawn(func() { n.watchMachines(ctx) })
 }
 
 func (n *Node) watchStore(ctx context.Context) {
 	retry := newBackoff()
 	for ctx.Err() == nil {
-		since, askedAt := n.complete(), n.now()
-		listing, err := n.store.Watch(ctx, since, watchWait)
-		n.storeAnswered(since, askedAt, listing, err)
+		since, requestedAt := n.completeRevision(), n.now()
+		listing, err := n.store.Watch(ctx, since, watchDuration)
+		n.applyListing(since, requestedAt, listing, err)
 		if err == nil {
 			retry.Reset()
 		} else if !pause.For(ctx, retry.NextBackOff()) {
@@ -91,7 +92,7 @@
 	}
 }
 
-func (n *Node) complete() uint64 {
+func (n *Node) completeRevision() uint64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.control.Configuration().Complete()
@@ -102,6 +103,6 @@
 		if machines, err := n.store.Machines(ctx); err == nil && len(machines) > 0 {
 			n.step(core.MachineList{Machines: machines})
 		}
-		pause.For(ctx, machineInterval)
+		pause.For(ctx, machinePollInterval)
 	}
 }
