--- a/internal/postgres/operator/client.go
+++ b/internal/postgres/operator/client.go
@@ -15,18 +15,19 @@
 	"dewknot/internal/postgres/node"
 )
 
-// Client calls a node's operator address.
+// Client is a client of a node's operator API.
 type Client struct {
-	base string
-	http *http.Client
+	baseURL string
+	http    *http.Client
 }
 
-// clientTimeout bounds one call; changes retry while the store is unclear.
+// clientTimeout is the timeout of a request. It allows for the node's retries when it
+// stores a change.
 const clientTimeout = 30 * time.Second
 
-// NewClient returns a client for an address such as 127.0.0.1:7004.
+// NewClient returns a client for the node at an address such as 127.0.0.1:7004.
 func NewClient(address string) *Client {
-	return &Client{base: "http://" + strings.TrimPrefix(address, "http://"), http: &http.Client{Timeout: clientTimeout}}
+	return &Client{baseURL: "http://" + strings.TrimPrefix(address, "http://"), http: &http.Client{Timeout: clientTimeout}}
 }
 
 func call[T any](ctx context.Context, c *Client, method, path string, body any) (T, error) {
@@ -35,7 +36,7 @@
 	if err != nil {
 		return value, errors.Wrap(err, "encode request")
 	}
-	request, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(encoded))
+	request, err := http.NewRequestWithContext(ctx, method, c.baseURL+path, bytes.NewReader(encoded))
 	if err != nil {
 		return value, errors.Wrap(err, "make request")
 	}
@@ -46,11 +47,11 @@
 	defer func() { _ = response.Body.Close() }()
 	decoder := json.NewDecoder(response.Body)
 	if response.StatusCode != http.StatusOK {
-		refusal := &administration.Error{}
-		if err := decoder.Decode(refusal); err != nil {
+		apiErr := &administration.Error{}
+		if err := decoder.Decode(apiErr); err != nil {
 			return value, errors.Errorf("the node answered with status %s", response.Status)
 		}
-		return value, refusal
+		return value, apiErr
 	}
 	return value, errors.Wrap(decoder.Decode(&value), "decode answer")
 }
@@ -65,27 +66,27 @@
 	return call[FleetStatus](ctx, c, http.MethodGet, "/fleet", nil)
 }
 
-// Policy returns a service's policy in force.
+// Policy returns the active policy of a service.
 func (c *Client) Policy(ctx context.Context, service string) (PolicyState[configuration.Policy], error) {
 	return call[PolicyState[configuration.Policy]](ctx, c, http.MethodGet, "/policies/"+service, nil)
 }
 
-// Proposal returns the policy that waits for review.
+// Proposal returns the service's policy that waits for review.
 func (c *Client) Proposal(ctx context.Context, service string) (PolicyState[configuration.Proposal], error) {
 	return call[PolicyState[configuration.Proposal]](ctx, c, http.MethodGet, "/proposals/"+service, nil)
 }
 
-// SubmitPolicy submits or replaces a policy.
+// SubmitPolicy submits a new policy or one that replaces the active policy.
 func (c *Client) SubmitPolicy(ctx context.Context, service string, change PolicyChange) (administration.Outcome, error) {
 	return call[administration.Outcome](ctx, c, http.MethodPost, "/policies/"+service, change)
 }
 
-// ApprovePolicy approves the proposal at the version named in the change.
+// ApprovePolicy approves the version of the proposal given by change.Replaces.
 func (c *Client) ApprovePolicy(ctx context.Context, service string, change administration.Change) (administration.Outcome, error) {
 	return call[administration.Outcome](ctx, c, http.MethodPost, "/proposals/"+service+"/approve", change)
 }
 
-// Mark sets or clears a mark.
+// Mark sets or clears the leaving mark of a node or server.
 func (c *Client) Mark(ctx context.Context, change MarkChange) (administration.Outcome, error) {
 	return call[administration.Outcome](ctx, c, http.MethodPost, "/marks", change)
 }
@@ -95,7 +96,7 @@
 	return call[administration.Outcome](ctx, c, http.MethodPost, "/groups/"+change.Group.Name, change)
 }
 
-// SetUser stores a caller's verifier.
+// SetUser stores the credentials of a caller.
 func (c *Client) SetUser(ctx context.Context, name string, change UserChange) (administration.Outcome, error) {
 	return call[administration.Outcome](ctx, c, http.MethodPost, "/users/"+name, change)
 }
--- a/internal/postgres/operator/server.go
+++ b/internal/postgres/operator/server.go
@@ -1,5 +1,5 @@
-// Package operator serves and calls a node's HTTP address for operators:
-// health, metrics, status, policies and marks.
+// Package operator contains the server and the client of a node's HTTP API for
+// operators: health, metrics, status and changes of the configuration.
 package operator
 
 import (
@@ -19,22 +19,22 @@
 	"dewknot/internal/postgres/node"
 )
 
-// maxBodyBytes bounds a request's body.
+// maxBodyBytes is the maximum size of a request's body.
 const maxBodyBytes = 1 << 20
 
-// Server is the operator address of a node.
+// Server is the HTTP server of a node's operator API.
 type Server struct {
 	node *node.Node
 	http *http.Server
 }
 
-// Serve opens the address.
-func Serve(address string, served *node.Node) (*Server, error) {
+// Serve starts a server for the node on the given address.
+func Serve(address string, n *node.Node) (*Server, error) {
 	socket, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, errors.Wrapf(err, "listen for operators on %s; name a free address", address)
 	}
-	server := &Server{node: served}
+	server := &Server{node: n}
 	server.http = &http.Server{Handler: server.handler(), ReadHeaderTimeout: headerTimeout}
 	go func() { _ = server.http.Serve(socket) }()
 	return server, nil
@@ -42,7 +42,7 @@
 
 const headerTimeout = 5 * time.Second
 
-// Close ends the server.
+// Close stops the server without waiting for requests in progress.
 func (s *Server) Close() { _ = s.http.Close() }
 
 func (s *Server) handler() http.Handler {
@@ -53,12 +53,12 @@
 	mux.HandleFunc("GET /status", s.status)
 	mux.HandleFunc("GET /fleet", s.fleet)
 	mux.HandleFunc("GET /policies/{service}", s.getPolicy)
-	mux.HandleFunc("POST /policies/{service}", changing(s.submitPolicy))
+	mux.HandleFunc("POST /policies/{service}", handleChange(s.submitPolicy))
 	mux.HandleFunc("GET /proposals/{service}", s.getProposal)
-	mux.HandleFunc("POST /proposals/{service}/approve", changing(s.approvePolicy))
-	mux.HandleFunc("POST /marks", changing(s.mark))
-	mux.HandleFunc("POST /groups/{name}", changing(s.setGroup))
-	mux.HandleFunc("POST /users/{name}", changing(s.setUser))
+	mux.HandleFunc("POST /proposals/{service}/approve", handleChange(s.approvePolicy))
+	mux.HandleFunc("POST /marks", handleChange(s.mark))
+	mux.HandleFunc("POST /groups/{name}", handleChange(s.setGroup))
+	mux.HandleFunc("POST /users/{name}", handleChange(s.setUser))
 	return mux
 }
 
@@ -70,16 +70,17 @@
 	_, _ = io.WriteString(writer, "ready\n")
 }
 
-func (s *Server) status(writer http.ResponseWriter, _ *http.Request) { answer(writer, s.node.Status()) }
+func (s *Server) status(writer http.ResponseWriter, _ *http.Request) {
+	writeJSON(writer, s.node.Status())
+}
 
-// FleetStatus is the state of every node that answered, and the names of those
-// that did not.
+// FleetStatus holds the status of all nodes that responded and the names of the others.
 type FleetStatus struct {
 	Nodes  []node.NodeStatus `json:"nodes"`
 	Silent []string          `json:"silent,omitempty"`
 }
 
-// fleetTimeout bounds asking the other nodes.
+// fleetTimeout is the timeout for requesting the status of all nodes.
 const fleetTimeout = 2 * time.Second
 
 func (s *Server) fleet(writer http.ResponseWriter, request *http.Request) {
@@ -87,12 +88,12 @@
 	defer cancel()
 	view := s.node.View()
 	var mu sync.Mutex
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	fleet := FleetStatus{}
 	for _, member := range view.Members {
-		all.Add(1)
+		wg.Add(1)
 		go func() {
-			defer all.Done()
+			defer wg.Done()
 			status, err := NewClient(member.Addresses.Operator).Status(ctx)
 			mu.Lock()
 			defer mu.Unlock()
@@ -103,11 +104,11 @@
 			fleet.Nodes = append(fleet.Nodes, status)
 		}()
 	}
-	all.Wait()
-	answer(writer, fleet)
+	wg.Wait()
+	writeJSON(writer, fleet)
 }
 
-// PolicyState is a policy and its version; version 0 means that there is none.
+// PolicyState is a policy or proposal and its version, which is 0 if there is none.
 type PolicyState[T any] struct {
 	Version uint64 `json:"version"`
 	Policy  T      `json:"policy"`
@@ -115,15 +116,15 @@
 
 func (s *Server) getPolicy(writer http.ResponseWriter, request *http.Request) {
 	policy, version, err := s.node.PolicySource(request.PathValue("service"))
-	respond(writer, PolicyState[configuration.Policy]{version, policy}, err)
+	writeResult(writer, PolicyState[configuration.Policy]{version, policy}, err)
 }
 
 func (s *Server) getProposal(writer http.ResponseWriter, request *http.Request) {
 	proposal, version, err := s.node.Proposal(request.PathValue("service"))
-	respond(writer, PolicyState[configuration.Proposal]{version, proposal}, err)
+	writeResult(writer, PolicyState[configuration.Proposal]{version, proposal}, err)
 }
 
-// PolicyChange asks for a policy to be put in force.
+// PolicyChange is a request to submit a policy.
 type PolicyChange struct {
 	administration.Change
 	Source string `json:"source"`
@@ -137,7 +138,8 @@
 	return s.node.Administration().ApprovePolicy(request.Context(), request.PathValue("service"), change)
 }
 
-// MarkChange asks for a mark on a node, or on a server of a group.
+// MarkChange is a request to set or clear the leaving mark of a node, or of a server of
+// a group.
 type MarkChange struct {
 	administration.Change
 	Node    string `json:"node,omitempty"`
@@ -160,7 +162,7 @@
 	return s.node.Administration().Mark(request.Context(), change.key(), change.Leaving, change.Change)
 }
 
-// GroupChange asks for a database group to be configured.
+// GroupChange is a request to configure a database group.
 type GroupChange struct {
 	administration.Change
 	Group configuration.Group `json:"group"`
@@ -171,7 +173,7 @@
 	return s.node.Administration().SetGroup(request.Context(), change.Group, change.Change)
 }
 
-// UserChange asks for a caller's verifier to be stored.
+// UserChange is a request to store the credentials of a caller.
 type UserChange struct {
 	administration.Change
 	User configuration.User `json:"user"`
@@ -181,28 +183,32 @@
 	return s.node.Administration().SetUser(request.Context(), request.PathValue("name"), change.User, change.Change)
 }
 
-// changing decodes a change, makes it and answers with its outcome.
-func changing[T any](change func(*http.Request, T) (administration.Outcome, error)) http.HandlerFunc {
+// handleChange returns a handler that decodes a change from a request, calls change
+// with it and writes the outcome.
+func handleChange[T any](change func(*http.Request, T) (administration.Outcome, error)) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		var value T
 		decoder := json.NewDecoder(io.LimitReader(request.Body, maxBodyBytes))
 		decoder.DisallowUnknownFields()
 		if err := decoder.Decode(&value); err != nil {
-			respond(writer, nil, &administration.Error{Kind: administration.Invalid, Message: err.Error(), Remedy: "send the JSON that docs/OPERATIONS.md describes"})
+			writeResult(writer, nil, &administration.Error{
+				Kind: administration.Invalid, Message: err.Error(),
+				Remedy: "send the JSON that docs/OPERATIONS.md describes",
+			})
 			return
 		}
 		outcome, err := change(request, value)
-		respond(writer, outcome, err)
+		writeResult(writer, outcome, err)
 	}
 }
 
-func answer(writer http.ResponseWriter, value any) {
+func writeJSON(writer http.ResponseWriter, value any) {
 	writer.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(writer).Encode(value)
 }
 
-// statusOf maps kinds of errors to HTTP status codes.
-var statusOf = map[administration.Kind]int{
+// httpStatus holds the HTTP status codes for the kinds of errors.
+var httpStatus = map[administration.Kind]int{
 	administration.Conflict:     http.StatusConflict,
 	administration.Invalid:      http.StatusUnprocessableEntity,
 	administration.ReviewNeeded: http.StatusForbidden,
@@ -211,16 +217,16 @@
 	administration.Unavailable:  http.StatusServiceUnavailable,
 }
 
-func respond(writer http.ResponseWriter, value any, err error) {
+func writeResult(writer http.ResponseWriter, value any, err error) {
 	if err == nil {
-		answer(writer, value)
+		writeJSON(writer, value)
 		return
 	}
-	var refusal *administration.Error
-	if !errors.As(err, &refusal) {
-		refusal = &administration.Error{Kind: administration.Unavailable, Message: err.Error(), Remedy: "see the node's log"}
+	var apiErr *administration.Error
+	if !errors.As(err, &apiErr) {
+		apiErr = &administration.Error{Kind: administration.Unavailable, Message: err.Error(), Remedy: "see the node's log"}
 	}
 	writer.Header().Set("Content-Type", "application/json")
-	writer.WriteHeader(statusOf[refusal.Kind])
-	_ = json.NewEncoder(writer).Encode(refusal)
+	writer.WriteHeader(httpStatus[apiErr.Kind])
+	_ = json.NewEncoder(writer).Encode(apiErr)
 }
