--- a/internal/postgres/objectapi/api.go
+++ b/internal/postgres/objectapi/api.go
@@ -1,8 +1,8 @@
-// Package objectapi is the client of the platform's object API and machine list.
+// Package objectapi is a client for the platform's object API and machine list.
 //
-// The object API keeps configuration and status as versioned objects with
-// conditional updates and watches (brief, "What the platform gives"). All
-// versions come from one counter of the store, its revision.
+// The object API stores configuration and status as versioned objects, with
+// conditional updates and watches. All versions come from a single counter of the
+// store, its revision.
 package objectapi
 
 import (
@@ -19,7 +19,7 @@
 	"github.com/pkg/errors"
 )
 
-// Object is a stored object. A deleted object remains as a tombstone.
+// Object is a stored object. Deleted objects remain as tombstones.
 type Object struct {
 	Key     string          `json:"key" msgpack:"k"`
 	Value   json.RawMessage `json:"value,omitempty" msgpack:"v"`
@@ -27,46 +27,46 @@
 	Deleted bool            `json:"deleted,omitempty" msgpack:"d"`
 }
 
-// Listing is the answer to a list or watch request.
+// Listing is the response to a list or watch request.
 type Listing struct {
-	// Revision is the store's revision up to which Objects is complete.
+	// Revision is the revision of the store up to which Objects is complete.
 	Revision uint64   `json:"revision"`
 	Objects  []Object `json:"objects"`
 }
 
-// Machine is an entry of the platform's machine list, which lags.
+// Machine is an entry of the platform's machine list, which may be out of date.
 type Machine struct {
 	ID      string `json:"id"`
 	Zone    string `json:"zone"`
 	Leaving bool   `json:"leaving"`
 }
 
-// ErrorKind tells what a caller of the store can do about an error.
+// ErrorKind classifies errors by what can be done about them.
 type ErrorKind uint8
 
 // The kinds of store errors.
 const (
-	// Unavailable: the request surely took no effect, or only read.
+	// Unavailable means that the request had no effect or was a read.
 	Unavailable ErrorKind = iota
-	// Conflict: the object has another version than the one named.
+	// Conflict means that the object is not at the given version.
 	Conflict
-	// NotFound: no such object.
+	// NotFound means that the object does not exist.
 	NotFound
-	// AnswerLost: the change may have taken effect.
+	// AnswerLost means that the change may have taken effect.
 	AnswerLost
-	// Rejected: the store refused the request as wrong.
+	// Rejected means that the store rejected the request as invalid.
 	Rejected
 )
 
 // Error is an error of the object API.
 type Error struct {
 	Kind ErrorKind
-	// Current is the object's present version, for Conflict.
+	// Current is the current version of the object, for Conflict.
 	Current uint64
 	Message string
 }
 
-// Error implements the error interface; the message names the remedy.
+// Error implements the error interface. The message includes a remedy.
 func (e *Error) Error() string {
 	switch e.Kind {
 	case Conflict:
@@ -82,7 +82,7 @@
 	}
 }
 
-// KindOf returns the kind of a store error; other errors count as Unavailable.
+// KindOf returns the kind of a store error, and Unavailable for other errors.
 func KindOf(err error) ErrorKind {
 	var found *Error
 	if errors.As(err, &found) {
@@ -91,52 +91,55 @@
 	return Unavailable
 }
 
-// Header and parameter names of the object API.
+// Headers of the object API.
 const (
 	matchHeader   = "If-Match"
 	versionHeader = "Object-Version"
 )
 
-// maxAnswerBytes bounds an answer from the store.
-const maxAnswerBytes = 64 << 20
+// maxResponseBytes is the maximum size of a response from the store.
+const maxResponseBytes = 64 << 20
 
-// Client talks to the object API and the machine list.
+// Client is a client for the object API and the machine list. It is safe for
+// concurrent use.
 type Client struct {
-	base string
-	http *http.Client
+	baseURL string
+	http    *http.Client
 }
 
-// NewClient returns a client for a base URL such as http://127.0.0.1:7000.
-func NewClient(base string, timeout time.Duration) *Client {
-	return &Client{base: strings.TrimRight(base, "/"), http: &http.Client{Timeout: timeout}}
+// NewClient returns a client for a base URL such as http://127.0.0.1:7000. The timeout
+// applies to each request.
+func NewClient(baseURL string, timeout time.Duration) *Client {
+	return &Client{baseURL: strings.TrimRight(baseURL, "/"), http: &http.Client{Timeout: timeout}}
 }
 
-func (c *Client) do(ctx context.Context, method, path string, match *uint64, body []byte) ([]byte, error) {
-	request, err := http.NewRequestWithContext(ctx, method, c.base+path, strings.NewReader(string(body)))
+// do sends a request. The version is a precondition unless it is nil.
+func (c *Client) do(ctx context.Context, method, path string, version *uint64, body []byte) ([]byte, error) {
+	request, err := http.NewRequestWithContext(ctx, method, c.baseURL+path, strings.NewReader(string(body)))
 	if err != nil {
 		return nil, &Error{Kind: Rejected, Message: err.Error()}
 	}
-	if match != nil {
-		request.Header.Set(matchHeader, strconv.FormatUint(*match, 10))
+	if version != nil {
+		request.Header.Set(matchHeader, strconv.FormatUint(*version, 10))
 	}
-	lost := Unavailable
+	failureKind := Unavailable
 	if method == http.MethodPut || method == http.MethodDelete {
-		lost = AnswerLost
+		failureKind = AnswerLost
 	}
 	response, err := c.http.Do(request)
 	if err != nil {
-		return nil, &Error{Kind: lost, Message: err.Error()}
+		return nil, &Error{Kind: failureKind, Message: err.Error()}
 	}
 	defer func() { _ = response.Body.Close() }()
-	answer, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
+	content, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
-		return nil, &Error{Kind: lost, Message: err.Error()}
+		return nil, &Error{Kind: failureKind, Message: err.Error()}
 	}
-	return answer, statusError(response, answer, lost)
+	return content, responseError(response, content, failureKind)
 }
 
-func statusError(response *http.Response, answer []byte, lost ErrorKind) error {
-	message := strings.TrimSpace(string(answer))
+func responseError(response *http.Response, content []byte, failureKind ErrorKind) error {
+	message := strings.TrimSpace(string(content))
 	switch {
 	case response.StatusCode < http.StatusMultipleChoices:
 		return nil
@@ -148,7 +151,7 @@
 	case response.StatusCode == http.StatusServiceUnavailable, response.StatusCode == http.StatusTooManyRequests:
 		return &Error{Kind: Unavailable, Message: message}
 	case response.StatusCode >= http.StatusInternalServerError:
-		return &Error{Kind: lost, Message: message}
+		return &Error{Kind: failureKind, Message: message}
 	default:
 		return &Error{Kind: Rejected, Message: message}
 	}
@@ -159,22 +162,24 @@
 	return decode[Object](c.do(ctx, http.MethodGet, "/objects/"+key, nil, nil))
 }
 
-// Put stores a value if the object is at the version named (0: it does not exist).
+// Put stores a value if the object is at the given version, where 0 means that it does
+// not exist.
 func (c *Client) Put(ctx context.Context, key string, value json.RawMessage, version uint64) (Object, error) {
 	return decode[Object](c.do(ctx, http.MethodPut, "/objects/"+key, &version, value))
 }
 
-// Delete removes an object if it is at the version named.
+// Delete deletes an object if it is at the given version.
 func (c *Client) Delete(ctx context.Context, key string, version uint64) (Object, error) {
 	return decode[Object](c.do(ctx, http.MethodDelete, "/objects/"+key, &version, nil))
 }
 
-// List returns all objects whose keys have a prefix.
+// List returns all objects whose keys have the given prefix.
 func (c *Client) List(ctx context.Context, prefix string) (Listing, error) {
 	return decode[Listing](c.do(ctx, http.MethodGet, "/objects?prefix="+url.QueryEscape(prefix), nil, nil))
 }
 
-// Watch waits up to a duration for changes after a revision.
+// Watch returns the changes after the revision since, and waits up to the given
+// duration for some.
 func (c *Client) Watch(ctx context.Context, since uint64, wait time.Duration) (Listing, error) {
 	path := fmt.Sprintf("/watch?since=%d&wait=%s", since, wait)
 	return decode[Listing](c.do(ctx, http.MethodGet, path, nil, nil))
@@ -185,12 +190,12 @@
 	return decode[[]Machine](c.do(ctx, http.MethodGet, "/machines", nil, nil))
 }
 
-func decode[T any](answer []byte, err error) (T, error) {
+func decode[T any](content []byte, err error) (T, error) {
 	var value T
 	if err != nil {
 		return value, err
 	}
-	if err := json.Unmarshal(answer, &value); err != nil {
+	if err := json.Unmarshal(content, &value); err != nil {
 		return value, &Error{Kind: AnswerLost, Message: "unreadable answer: " + err.Error()}
 	}
 	return value, nil
