--- a/internal/postgres/gossip/transport.go
+++ b/internal/postgres/gossip/transport.go
@@ -1,6 +1,6 @@
-// Package gossip carries membership messages over UDP: msgpack with a keyed
-// digest. A datagram with a wrong digest, or one that cannot be decoded, is
-// dropped and counted.
+// Package gossip sends and receives membership messages over UDP. A datagram is a
+// keyed digest followed by a message in msgpack. Datagrams with a wrong digest and
+// those that cannot be decoded are dropped and counted.
 package gossip
 
 import (
@@ -14,31 +14,32 @@
 	"dewknot/internal/postgres/peer"
 )
 
-// digestBytes is the length of the digest before the message.
+// digestBytes is the length of the digest that precedes the message.
 const digestBytes = 16
 
-// maxDatagram is the largest datagram accepted.
-const maxDatagram = 64 << 10
+// maxDatagramBytes is the maximum size of a received datagram.
+const maxDatagramBytes = 64 << 10
 
-// purpose keeps digests of datagrams apart from those of links.
-var purpose = []byte("gossip")
+// digestContext is part of the digested data, so that digests of datagrams are not
+// valid for links between nodes.
+var digestContext = []byte("gossip")
 
-// Counters count traffic; they are read by the metrics page.
+// Counters holds the traffic counters for the metrics.
 type Counters struct {
 	SentBytes, ReceivedBytes       atomic.Uint64
 	SentMessages, ReceivedMessages atomic.Uint64
-	// Dropped counts datagrams with a wrong digest or form.
+	// Dropped counts datagrams with a wrong digest or an invalid encoding.
 	Dropped atomic.Uint64
 }
 
-// Transport is a UDP socket.
+// Transport sends and receives messages on a UDP socket.
 type Transport struct {
 	socket   *net.UDPConn
 	keys     peer.Keys
 	counters *Counters
 }
 
-// Listen opens a socket.
+// Listen opens a UDP socket on the given address.
 func Listen(address string, keys peer.Keys, counters *Counters) (*Transport, error) {
 	resolved, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
@@ -51,36 +52,36 @@
 	return &Transport{socket: socket, keys: keys, counters: counters}, nil
 }
 
-// Address returns the socket's address.
+// Address returns the local address of the socket.
 func (t *Transport) Address() string { return t.socket.LocalAddr().String() }
 
-// Close ends Receive.
+// Close closes the socket, which makes Receive return.
 func (t *Transport) Close() { _ = t.socket.Close() }
 
-// Encode returns a message as a datagram.
+// Encode encodes a message as a datagram.
 func Encode(keys peer.Keys, message *membership.Message) ([]byte, error) {
-	const usualBytes = 512
-	datagram, err := codec.Append(make([]byte, digestBytes, usualBytes), message)
+	const typicalBytes = 512
+	datagram, err := codec.Append(make([]byte, digestBytes, typicalBytes), message)
 	if err != nil {
 		return nil, err
 	}
-	copy(datagram, keys.Prove(purpose, datagram[digestBytes:])[:digestBytes])
+	copy(datagram, keys.Prove(digestContext, datagram[digestBytes:])[:digestBytes])
 	return datagram, nil
 }
 
-// Decode checks and decodes a datagram.
+// Decode verifies the digest of a datagram and decodes its message.
 func Decode(keys peer.Keys, datagram []byte) (membership.Message, error) {
 	message := membership.Message{}
 	if len(datagram) < digestBytes {
 		return message, errors.New("datagram is too short")
 	}
-	if !keys.Accept(datagram[:digestBytes], purpose, datagram[digestBytes:]) {
-		return message, errors.New("datagram is not proved with a fleet key; give all nodes the same fleet_keys")
+	if !keys.Accept(datagram[:digestBytes], digestContext, datagram[digestBytes:]) {
+		return message, errors.New("datagram has no valid digest; give all nodes the same fleet_keys")
 	}
 	return message, codec.Decode(datagram[digestBytes:], &message)
 }
 
-// Send sends a message; loss is for the protocol to handle.
+// Send sends a message. It ignores errors, because the protocol handles lost messages.
 func (t *Transport) Send(to string, message *membership.Message) {
 	resolved, err := net.ResolveUDPAddr("udp", to)
 	if err != nil {
@@ -95,9 +96,10 @@
 	_, _ = t.socket.WriteToUDP(datagram, resolved)
 }
 
-// Receive calls handle for each good datagram until the transport is closed.
+// Receive calls handle with the message of each valid datagram until the transport is
+// closed.
 func (t *Transport) Receive(handle func(membership.Message)) {
-	buffer := make([]byte, maxDatagram)
+	buffer := make([]byte, maxDatagramBytes)
 	for {
 		size, _, err := t.socket.ReadFromUDP(buffer)
 		if err != nil {
--- a/internal/postgres/gossip/transport_test.go
+++ b/internal/postgres/gossip/transport_test.go
@@ -9,27 +9,28 @@
 	"dewknot/internal/postgres/peer"
 )
 
-// Keys are changed node by node: a node with both keys understands either.
-func TestKeysCanBeChanged(t *testing.T) {
+// A node that has both keys must accept and be understood by nodes with either key, so
+// that keys can be changed node by node.
+func TestRollingKeyChange(t *testing.T) {
 	oldKeys, both, newKeys := peer.Keys{"old-0123456789abcdef"}, peer.Keys{"new-0123456789abcdef", "old-0123456789abcdef"}, peer.Keys{"new-0123456789abcdef"}
 	message := &membership.Message{Kind: membership.Ack, From: "a", Sequence: 9}
-	for name, ways := range map[string]struct {
+	for name, tc := range map[string]struct {
 		from, to peer.Keys
 		ok       bool
 	}{
 		"old to both": {oldKeys, both, true}, "both to new": {both, newKeys, true}, "old to new": {oldKeys, newKeys, false}, "new to old": {newKeys, oldKeys, false},
 	} {
-		datagram, err := Encode(ways.from, message)
+		datagram, err := Encode(tc.from, message)
 		must.NoError(t, err)
-		decoded, err := Decode(ways.to, datagram)
-		must.Eq(t, ways.ok, err == nil, must.Sprint(name))
-		if ways.ok {
+		decoded, err := Decode(tc.to, datagram)
+		must.Eq(t, tc.ok, err == nil, must.Sprint(name))
+		if tc.ok {
 			must.Eq(t, *message, decoded)
 		}
 	}
 }
 
-// A changed or cut datagram is refused.
+// A modified or truncated datagram must be rejected.
 func TestDamagedDatagrams(t *testing.T) {
 	keys := peer.Keys{"key-0123456789abcdef"}
 	datagram, err := Encode(keys, &membership.Message{From: "a"})
@@ -51,7 +52,7 @@
 	f.Add(seed)
 	f.Fuzz(func(_ *testing.T, data []byte) {
 		_, _ = Decode(keys, data)
-		proved := append(keys.Prove(purpose, data)[:digestBytes:digestBytes], data...)
-		_, _ = Decode(keys, proved)
+		signed := append(keys.Prove(digestContext, data)[:digestBytes:digestBytes], data...)
+		_, _ = Decode(keys, signed)
 	})
 }
