--- a/internal/postgres/administration/administration_test.go
+++ b/internal/postgres/administration/administration_test.go
@@ -129,6 +129,7 @@
 	requireKind(t, err, Uncertain)
 }
 
+// A conflict must report the version and author of the change that succeeded.
 func TestConflictReportsWinner(t *testing.T) {
 	store := newMemoryStore()
 	ctx := context.Background()
@@ -164,6 +165,7 @@
 	must.Eq(t, "bob", stored.Approver)
 }
 
+// Incorrect changes must be rejected as invalid.
 func TestInvalidChanges(t *testing.T) {
 	ctx := context.Background()
 	_, err := newService(newMemoryStore(), false).SubmitPolicy(ctx, "exams", policySource(1), newChange("one", "ann", 0))
--- a/internal/postgres/gossip/transport_test.go
+++ b/internal/postgres/gossip/transport_test.go
@@ -45,6 +45,7 @@
 	}
 }
 
+// Arbitrary datagrams, with and without a valid digest, must not make Decode panic.
 func FuzzDecode(f *testing.F) {
 	keys := peer.Keys{"key-0123456789abcdef"}
 	seed, err := Encode(keys, &membership.Message{From: "a"})
