--- a/internal/lab/sim/client.go
+++ b/internal/lab/sim/client.go
@@ -12,29 +12,30 @@
 	"dewknot/internal/postgres/policy"
 )
 
-// Mix is the share of each kind of operation, in parts of their sum.
+// Mix holds the relative weight of each kind of operation.
 type Mix struct {
 	Booking, OwnRead, Payment, StatusWrite, StatusRead, Feed, Manifest int
 }
 
-// Workload describes the callers.
+// Workload describes the simulated callers.
 type Workload struct {
 	Clients int
-	// Think is the mean time between a caller's requests.
+	// Think is the mean think time of a caller between operations.
 	Think time.Duration
 	Mix   Mix
-	// SurgeFrom and SurgeTo bound a surge in which callers think Surge times less.
+	// Between SurgeFrom and SurgeTo, think times are divided by Surge.
 	SurgeFrom, SurgeTo time.Duration
 	Surge              int
-	// Carry is the share of callers that carry their position themselves.
+	// Carry is the share of callers that send the position of their last answer with each
+	// request.
 	Carry float64
-	// Resellers is how many of the clients belong to the caller "reseller", each
-	// of which thinks Greed times less.
+	// Resellers is the number of clients that belong to the caller "reseller". Their think
+	// time is divided by Greed.
 	Resellers int
 	Greed     int
 }
 
-// Kinds of requests, as policies name them.
+// Kinds of requests, by their names in policies.
 const (
 	kindBooking  = "booking"
 	kindPayment  = "payment"
@@ -45,10 +46,12 @@
 	kindManifest = "manifest"
 )
 
-// DefaultTable is the policy of simulated services.
+// DefaultTable returns the policy of simulated services.
 func DefaultTable() policy.Table {
 	rule := func(freshness policy.Freshness, lag, wait time.Duration) policy.Rule {
-		return policy.Rule{Freshness: freshness, MaxLag: lag, Wait: wait, ReplicaWait: 150 * time.Millisecond}
+		return policy.Rule{
+			Freshness: freshness, MaxLag: lag, Wait: wait, ReplicaWait: 150 * time.Millisecond,
+		}
 	}
 	return policy.Table{
 		Default: rule(policy.Current, 0, 2*time.Second),
@@ -65,80 +68,82 @@
 	}
 }
 
-// caller is one simulated session; it moves between nodes from one request to
-// the next.
+// caller is one simulated session. Each operation connects to a randomly chosen node.
 type caller struct {
-	world    *World
-	name     string
-	user     string
-	group    string
-	carries  bool
-	position position.Position
-	number   int
-	conn     *callerConn
-	think    time.Duration
+	world          *World
+	name           string
+	user           string
+	group          string
+	carries        bool
+	position       position.Position
+	operationCount int
+	conn           *callerConn
+	meanThinkTime  time.Duration
 }
 
-// clientTimeout is when a caller gives up on a request.
+// clientTimeout is the time after which a caller gives up on an operation.
 const clientTimeout = 6 * time.Second
 
 func (w *World) startClients() {
-	load := w.settings.Workload
-	for index := range load.Clients {
+	workload := w.settings.Workload
+	for index := range workload.Clients {
 		created := &caller{
-			world: w, name: fmt.Sprintf("session%d", index), user: "passenger", think: load.Think,
-			group: groupName(index % w.settings.Groups), carries: w.random.Float64() < load.Carry,
+			world: w, name: fmt.Sprintf("session%d", index), user: "passenger", meanThinkTime: workload.Think,
+			group: groupName(index % w.settings.Groups), carries: w.random.Float64() < workload.Carry,
 		}
-		if index < load.Resellers {
+		if index < workload.Resellers {
 			created.user = "reseller"
-			created.think = load.Think / time.Duration(max(load.Greed, 1))
+			created.meanThinkTime = workload.Think / time.Duration(max(workload.Greed, 1))
 		}
 		const fleetStart = 2 * time.Second
-		w.After(fleetStart+time.Duration(w.random.Int64N(int64(load.Think)+1)), created.next)
+		w.After(fleetStart+time.Duration(w.random.Int64N(int64(workload.Think)+1)), created.beginOperation)
 	}
 }
 
-func (c *caller) pause() time.Duration {
-	load := &c.world.settings.Workload
-	mean := c.think
-	if load.Surge > 0 && c.world.Now() >= load.SurgeFrom && c.world.Now() < load.SurgeTo {
-		mean /= time.Duration(load.Surge)
+func (c *caller) thinkTime() time.Duration {
+	workload := &c.world.settings.Workload
+	mean := c.meanThinkTime
+	if workload.Surge > 0 && c.world.Now() >= workload.SurgeFrom && c.world.Now() < workload.SurgeTo {
+		mean /= time.Duration(workload.Surge)
 	}
-	const longest = 5.0
-	return time.Duration(float64(mean) * min(-math.Log(1-c.world.random.Float64()), longest))
+	const maxFactor = 5.0
+	return time.Duration(float64(mean) * min(-math.Log(1-c.world.random.Float64()), maxFactor))
 }
 
-func (c *caller) rest() { c.world.After(c.pause(), c.next) }
+func (c *caller) scheduleNext() { c.world.After(c.thinkTime(), c.beginOperation) }
 
-// next begins one operation.
-func (c *caller) next() {
-	if c.world.stopped > 0 && c.world.Now() >= c.world.stopped-clientTimeout {
+// beginOperation draws an operation from the mix and starts it.
+func (c *caller) beginOperation() {
+	if c.world.callersStopAt > 0 && c.world.Now() >= c.world.callersStopAt-clientTimeout {
 		return
 	}
-	c.number++
+	c.operationCount++
 	operation := history.Operation{
-		ID: fmt.Sprintf("%s-%d", c.name, c.number), Session: c.name, Caller: c.user, Group: c.group, Start: c.world.Now(), Type: history.Read,
+		ID: fmt.Sprintf("%s-%d", c.name, c.operationCount), Session: c.name, Caller: c.user,
+		Group: c.group, Start: c.world.Now(), Type: history.Read,
 	}
 	own, shared := c.name, c.group+"-departures"
 	mix := c.world.settings.Workload.Mix
-	draw := c.world.random.IntN(mix.Booking + mix.OwnRead + mix.Payment + mix.StatusWrite + mix.StatusRead + mix.Feed + mix.Manifest)
-	pick := func(parts int) bool {
+	draw := c.world.random.IntN(
+		mix.Booking + mix.OwnRead + mix.Payment + mix.StatusWrite + mix.StatusRead + mix.Feed + mix.Manifest,
+	)
+	drawn := func(parts int) bool {
 		draw -= parts
 		return draw < 0
 	}
 	table := c.world.settings.Table
 	switch {
-	case pick(mix.Booking):
+	case drawn(mix.Booking):
 		operation.Type, operation.Kind, operation.Keys = history.Write, kindBooking, []string{own}
-	case pick(mix.Payment):
+	case drawn(mix.Payment):
 		operation.Type, operation.Kind, operation.Keys = history.Transaction, kindPayment, []string{own, own + "-paid"}
-	case pick(mix.StatusWrite):
+	case drawn(mix.StatusWrite):
 		operation.Type, operation.Kind, operation.Keys = history.Write, kindCancel, []string{shared}
-	case pick(mix.OwnRead):
+	case drawn(mix.OwnRead):
 		operation.Kind, operation.Keys = kindOwn, []string{own}
-	case pick(mix.StatusRead):
+	case drawn(mix.StatusRead):
 		operation.Kind, operation.Keys = kindStatus, []string{shared}
-	case pick(mix.Feed):
+	case drawn(mix.Feed):
 		operation.Kind, operation.Keys = kindFeed, []string{shared}
 	default:
 		operation.Kind, operation.Keys = kindManifest, []string{shared}
@@ -149,17 +154,18 @@
 	attempt.connect()
 }
 
-// attempt is one operation under way.
+// attempt is one operation in progress.
 type attempt struct {
 	caller    *caller
 	operation history.Operation
 	step      int
 	ended     bool
-	// sent is set when a request that may commit has been sent.
+	// sent is set once a statement that may commit has been sent.
 	sent bool
 }
 
-// connect moves the caller to some node that accepts it.
+// connect closes the caller's connection, connects to a random node and sends the first
+// statement.
 func (a *attempt) connect() {
 	c := a.caller
 	if old := c.conn; old != nil {
@@ -167,7 +173,7 @@
 		old.node.do(old.run, func() { old.node.closeCaller(old) })
 	}
 	target := c.world.nodes[c.world.random.IntN(len(c.world.nodes))]
-	a.operation.Node = target.place.id
+	a.operation.Node = target.location.id
 	c.world.After(c.world.settings.ToClients, func() {
 		conn := target.accept()
 		if conn == nil || target.paused {
@@ -175,25 +181,25 @@
 			return
 		}
 		c.conn = conn
-		conn.lost = func(byStop bool) {
+		conn.onLost = func(byStop bool) {
 			a.operation.CutByStop = byStop
 			a.end(history.Unknown, failure.None, callerReply{})
 		}
-		a.request()
+		a.sendStatement()
 	})
 	c.world.After(clientTimeout, func() { a.end(history.Unknown, failure.None, callerReply{}) })
 }
 
-// commands returns the statements of the operation.
-func (a *attempt) commands() []command {
+// statements returns the statements of the operation.
+func (a *attempt) statements() []statement {
 	id := a.operation.ID
 	switch a.operation.Type {
 	case history.Read:
-		return []command{{codeRead, a.operation.Keys[0], id}}
+		return []statement{{codeRead, a.operation.Keys[0], id}}
 	case history.Write:
-		return []command{{codeWrite, a.operation.Keys[0], id}}
+		return []statement{{codeWrite, a.operation.Keys[0], id}}
 	default:
-		return []command{
+		return []statement{
 			{codeBegin, "", id},
 			{codeTransactionWrite, a.operation.Keys[0], id},
 			{codeTransactionWrite, a.operation.Keys[1], id},
@@ -202,35 +208,37 @@
 	}
 }
 
-func (a *attempt) request() {
+func (a *attempt) sendStatement() {
 	c := a.caller
 	conn := c.conn
-	asked := callerRequest{group: c.group, kind: a.operation.Kind, command: a.commands()[a.step], caller: c.user}
+	request := callerRequest{
+		group: c.group, kind: a.operation.Kind, statement: a.statements()[a.step], caller: c.user,
+	}
 	if c.carries {
-		asked.floor = c.position
+		request.minPosition = c.position
 	}
 	run := conn.run
-	a.sent = a.sent || asked.command.code == codeWrite || asked.command.code == codeCommit
+	a.sent = a.sent || request.statement.code == codeWrite || request.statement.code == codeCommit
 	c.world.After(c.world.settings.ToClients, func() {
 		conn.node.do(run, func() {
 			if conn.closed {
-				a.refusedAtArrival()
+				a.rejectedAtArrival()
 				return
 			}
-			conn.node.handle(conn, asked, func(reply callerReply) {
-				c.world.After(c.world.settings.ToClients, func() { a.answered(reply) })
+			conn.node.handle(conn, request, func(reply callerReply) {
+				c.world.After(c.world.settings.ToClients, func() { a.handleReply(reply) })
 			})
 		})
 	})
 }
 
-// refusedAtArrival: the node had ended the idle connection before the request
-// arrived, and said so with SQLSTATE 57P01; the request was not run.
-func (a *attempt) refusedAtArrival() {
+// rejectedAtArrival ends the attempt if the node had closed the idle connection before the
+// request arrived. The node reports that with SQLSTATE 57P01, so the request did not run.
+func (a *attempt) rejectedAtArrival() {
 	a.end(history.NotRun, failure.Stopping, callerReply{})
 }
 
-func (a *attempt) answered(reply callerReply) {
+func (a *attempt) handleReply(reply callerReply) {
 	if a.ended {
 		return
 	}
@@ -243,8 +251,8 @@
 		return
 	}
 	a.step++
-	if a.step < len(a.commands()) {
-		a.request()
+	if a.step < len(a.statements()) {
+		a.sendStatement()
 		return
 	}
 	a.caller.position = position.Max(a.caller.position, reply.position)
@@ -265,15 +273,15 @@
 	operation.Value, operation.Answered, operation.FromReplica = reply.answer.value, reply.answer.operation, reply.fromReplica
 	c.world.history.Operations = append(c.world.history.Operations, operation)
 	if conn := c.conn; conn != nil {
-		conn.lost = nil
+		conn.onLost = nil
 		if outcome != history.OK || conn.status != backend.Idle {
 			c.conn = nil
 			conn.node.do(conn.run, func() { conn.node.closeCaller(conn) })
 		}
 	}
 	if kind == failure.Overloaded || kind == failure.WaitLimit {
-		c.world.After(reply.retryAfter+c.pause(), c.next)
+		c.world.After(reply.retryAfter+c.thinkTime(), c.beginOperation)
 		return
 	}
-	c.rest()
+	c.scheduleNext()
 }
--- a/internal/lab/sim/database.go
+++ b/internal/lab/sim/database.go
@@ -10,13 +10,13 @@
 	"dewknot/internal/postgres/replication"
 )
 
-// recordWrite is one statement of a transaction: a record set by an operation.
+// recordWrite is the write of one record by an operation.
 type recordWrite struct {
 	key       string
 	operation string
 }
 
-// databaseGroup is a group of servers over the replication model.
+// databaseGroup is a group of servers whose replication is simulated by package replication.
 type databaseGroup struct {
 	world   *World
 	name    string
@@ -24,29 +24,29 @@
 	servers []*databaseServer
 }
 
-// databaseServer is one server.
+// databaseServer is a simulated database server.
 type databaseServer struct {
-	group   *databaseGroup
-	index   int
-	place   place
-	data    map[string]string // record -> operation that wrote it
-	conns   map[*serverConn]bool
-	running int
-	waiting []func()
-	paused  bool
-	backlog []func()
+	group     *databaseGroup
+	index     int
+	location  location
+	data      map[string]string // record key to the operation that last wrote it
+	conns     map[*serverConn]bool
+	busySlots int
+	waiting   []func()
+	paused    bool
+	backlog   []func()
 }
 
-// serverConn is a connection from an owner to a server.
+// serverConn is a connection from a node that serves the group to a server.
 type serverConn struct {
 	server *databaseServer
-	owner  place
+	owner  location
 	closed bool
 	inTx   bool
 	writes []recordWrite
 }
 
-// statementCode is the kind of statement that the simulated servers run.
+// statementCode is the kind of a statement.
 type statementCode uint8
 
 const (
@@ -58,18 +58,18 @@
 	codeRollback
 )
 
-// command is a statement.
-type command struct {
+// statement is a statement of an operation, as sent to a server.
+type statement struct {
 	code      statementCode
 	key       string
 	operation string
 }
 
-// serverAnswer is a server's answer to a command.
+// serverAnswer is a server's answer to a statement.
 type serverAnswer struct {
 	operation string
 	value     string
-	readOnly  bool // refused: the server is no primary
+	readOnly  bool // rejected: the server is not a primary
 	wrote     bool
 	status    byte
 	position  position.Position
@@ -87,23 +87,23 @@
 	for number := range servers {
 		created.servers = append(created.servers, &databaseServer{
 			group: created, index: number, data: map[string]string{}, conns: map[*serverConn]bool{},
-			place: place{zone: world.zone(index + number), id: fmt.Sprintf("%s/%d", created.name, number)},
+			location: location{zone: world.zone(index + number), id: fmt.Sprintf("%s/%d", created.name, number)},
 		})
 	}
 	return created
 }
 
-// advanceInterval is how often replication moves forward.
+// advanceInterval is the interval at which the replication model is advanced.
 const advanceInterval = 5 * time.Millisecond
 
 func (g *databaseGroup) start() { g.advance() }
 
 func (g *databaseGroup) advance() {
-	g.carryOut(g.model.Advance(g.world.Now()))
+	g.applyChanges(g.model.Advance(g.world.Now()))
 	g.world.After(advanceInterval, g.advance)
 }
 
-func (g *databaseGroup) carryOut(changes []replication.Change[[]recordWrite]) {
+func (g *databaseGroup) applyChanges(changes []replication.Change[[]recordWrite]) {
 	for _, change := range changes {
 		target := g.servers[change.Server]
 		switch {
@@ -138,7 +138,7 @@
 	}
 }
 
-// do runs work on the server now, or after a pause.
+// do runs work on the server at once or, if the server is paused, when it resumes.
 func (s *databaseServer) do(work func()) {
 	if s.paused {
 		s.backlog = append(s.backlog, work)
@@ -156,7 +156,7 @@
 	}
 }
 
-// dropConnections ends every session, as a restart or demotion does.
+// dropConnections closes every connection, as a restart or a demotion does.
 func (s *databaseServer) dropConnections() {
 	for conn := range s.conns {
 		conn.closed = true
@@ -165,8 +165,9 @@
 	s.conns = map[*serverConn]bool{}
 }
 
-// connect opens a connection; nil means that it was refused.
-func (s *databaseServer) connect(owner place) *serverConn {
+// connect opens a connection. It returns nil if the server is down or has no free
+// connection.
+func (s *databaseServer) connect(owner location) *serverConn {
 	if s.group.model.Down(s.index) || len(s.conns) >= s.group.world.settings.Connections {
 		return nil
 	}
@@ -175,7 +176,7 @@
 	return conn
 }
 
-// close ends a connection at the server: an open transaction is rolled back.
+// close closes the connection at the server, which rolls back its open transaction.
 func (c *serverConn) close() {
 	c.closed = true
 	c.writes = nil
@@ -183,59 +184,60 @@
 	delete(c.server.conns, c)
 }
 
-// execute runs a command when a slot is free and passes the answer on. A server
-// that is down answers nothing.
-func (s *databaseServer) execute(conn *serverConn, asked command, newWork bool, answer func(serverAnswer)) {
+// execute runs a statement as soon as a slot is free and calls answer with the result. A
+// server that is down doesn't answer.
+func (s *databaseServer) execute(conn *serverConn, stmt statement, newWork bool, answer func(serverAnswer)) {
 	if s.group.model.Down(s.index) || !s.conns[conn] {
 		return
 	}
-	if s.running >= s.group.world.settings.Slots {
-		s.waiting = append(s.waiting, func() { s.execute(conn, asked, newWork, answer) })
+	if s.busySlots >= s.group.world.settings.Slots {
+		s.waiting = append(s.waiting, func() { s.execute(conn, stmt, newWork, answer) })
 		return
 	}
 	if newWork {
-		s.group.world.history.Works = append(s.group.world.history.Works, history.Work{Group: s.group.name, Server: s.index, At: s.group.world.Now()})
+		s.group.world.history.Works = append(s.group.world.history.Works,
+			history.Work{Group: s.group.name, Server: s.index, At: s.group.world.Now()})
 	}
-	s.running++
-	s.group.world.After(s.serviceTime(asked), func() {
-		s.running--
-		s.do(func() { s.complete(conn, asked, answer) })
+	s.busySlots++
+	s.group.world.After(s.serviceTime(stmt), func() {
+		s.busySlots--
+		s.do(func() { s.complete(conn, stmt, answer) })
 		s.startWaiting()
 	})
 }
 
 func (s *databaseServer) startWaiting() {
-	if len(s.waiting) > 0 && s.running < s.group.world.settings.Slots {
+	if len(s.waiting) > 0 && s.busySlots < s.group.world.settings.Slots {
 		next := s.waiting[0]
 		s.waiting = s.waiting[1:]
 		next()
 	}
 }
 
-func (s *databaseServer) serviceTime(asked command) time.Duration {
+func (s *databaseServer) serviceTime(stmt statement) time.Duration {
 	world := s.group.world
 	mean := world.settings.ReadTime
-	if asked.code == codeWrite || asked.code == codeCommit {
+	if stmt.code == codeWrite || stmt.code == codeCommit {
 		mean = world.settings.WriteTime
 	}
 	return mean/2 + time.Duration(world.random.Int64N(int64(mean)+1))
 }
 
-func (s *databaseServer) complete(conn *serverConn, asked command, answer func(serverAnswer)) {
+func (s *databaseServer) complete(conn *serverConn, stmt statement, answer func(serverAnswer)) {
 	if s.group.model.Down(s.index) || !s.conns[conn] {
 		return
 	}
-	result := serverAnswer{operation: asked.operation, status: backend.Idle}
-	switch asked.code {
+	result := serverAnswer{operation: stmt.operation, status: backend.Idle}
+	switch stmt.code {
 	case codeRead:
-		result.value = s.data[asked.key]
+		result.value = s.data[stmt.key]
 		result.position = s.group.model.Report(s.index).Received
 	case codeWrite:
-		result = s.commit(result, []recordWrite{{asked.key, asked.operation}})
+		result = s.commit(result, []recordWrite{{stmt.key, stmt.operation}})
 	case codeBegin:
 		conn.inTx = true
 	case codeTransactionWrite:
-		conn.writes = append(conn.writes, recordWrite{asked.key, asked.operation})
+		conn.writes = append(conn.writes, recordWrite{stmt.key, stmt.operation})
 	case codeCommit:
 		writes := conn.writes
 		conn.inTx, conn.writes = false, nil
@@ -249,8 +251,8 @@
 	answer(result)
 }
 
-// commit appends the writes to the log, whatever the server's group thinks: a
-// replaced primary accepts work as well.
+// commit appends the writes to the server's log. A replaced primary that was not demoted
+// accepts them as well; its log is discarded later.
 func (s *databaseServer) commit(result serverAnswer, writes []recordWrite) serverAnswer {
 	at, ok := s.group.model.Append(s.index, writes, s.group.world.Now())
 	if !ok {
--- a/internal/lab/sim/faults.go
+++ b/internal/lab/sim/faults.go
@@ -13,10 +13,10 @@
 	"dewknot/internal/postgres/policy"
 )
 
-// FaultKind is a kind of fault.
+// FaultKind is the kind of an injected fault.
 type FaultKind string
 
-// The kinds of faults; the brief's "What fails" names them.
+// The kinds of faults.
 const (
 	CutPrimary   FaultKind = "cut_primary"
 	KillPrimary  FaultKind = "kill_primary"
@@ -33,19 +33,20 @@
 	StopNode     FaultKind = "stop_node"
 	MarkServer   FaultKind = "mark_server"
 	RacePolicies FaultKind = "race_policies"
-	// KillOwner and PauseOwner hit the node that owns the group; random runs hit it
-	// by KillNode and PauseNode.
+	// KillOwner and PauseOwner affect the node that owns the group. Random runs don't use
+	// them, since their KillNode and PauseNode may affect that node.
 	KillOwner  FaultKind = "kill_owner"
 	PauseOwner FaultKind = "pause_owner"
 )
 
-// allFaults lists the kinds from which random runs draw.
+// allFaults lists the kinds of faults that random runs use.
 var allFaults = []FaultKind{
-	CutPrimary, KillPrimary, PausePrimary, Switchover, LagReplicas, KillNode, PauseNode, CutNode, CutZone, CutRegions,
-	StoreDown, LoseAnswers, StopNode, MarkServer, RacePolicies,
+	CutPrimary, KillPrimary, PausePrimary, Switchover, LagReplicas,
+	KillNode, PauseNode, CutNode, CutZone, CutRegions, StoreDown, LoseAnswers, StopNode, MarkServer, RacePolicies,
 }
 
-// Fault is a fault at a time; For is how long it lasts.
+// Fault is a fault that begins at a time and lasts for a duration. Group and Target select
+// what it affects, modulo the number of groups, nodes, servers or zones.
 type Fault struct {
 	At     time.Duration
 	For    time.Duration
@@ -55,7 +56,7 @@
 	Lag    time.Duration
 }
 
-func (w *World) cause(fault Fault) {
+func (w *World) inject(fault Fault) {
 	current := w.groups[fault.Group%len(w.groups)]
 	target := w.nodes[fault.Target%len(w.nodes)]
 	if fault.Kind == KillOwner || fault.Kind == PauseOwner {
@@ -66,7 +67,7 @@
 		w.failPrimary(fault, current)
 	case Switchover:
 		changes, _ := current.model.Switchover(fault.Target%len(current.servers), w.Now())
-		current.carryOut(changes)
+		current.applyChanges(changes)
 	case LagReplicas:
 		w.lagReplicas(fault, current)
 	case KillNode, KillOwner:
@@ -94,7 +95,7 @@
 		w.store.loseAnswers = 1 + fault.Target%3
 	case StopNode:
 		target.drain()
-		w.After(drainLimit+fault.For, target.startProcess)
+		w.After(drainTimeout+fault.For, target.startProcess)
 	case MarkServer:
 		w.markServer(fault, current, target)
 	case RacePolicies:
@@ -102,8 +103,8 @@
 	}
 }
 
-// ownerOf returns the node that owns a group in the view of the first node that
-// serves.
+// ownerOf returns the node that owns a group according to the first live node that has a
+// view and knows an owner.
 func (w *World) ownerOf(target *databaseGroup) *node {
 	for _, current := range w.nodes {
 		if !current.alive || current.view == nil {
@@ -149,21 +150,21 @@
 
 func (w *World) cutNode(fault Fault, target *node) {
 	target.endPresence()
-	w.network.cutProcesses[target.place.id] = true
+	w.network.cutProcesses[target.location.id] = true
 	w.After(fault.For, func() {
-		delete(w.network.cutProcesses, target.place.id)
+		delete(w.network.cutProcesses, target.location.id)
 		target.beginPresence()
 	})
 }
 
-// cutZone cuts a zone's nodes and servers off from the others.
+// cutZone isolates a zone's nodes and servers from all other zones.
 func (w *World) cutZone(fault Fault) {
 	zone := w.zone(fault.Target).Name
 	w.network.cutZones[zone] = true
 	cut := func(on bool) {
 		for _, current := range w.groups {
 			for index, server := range current.servers {
-				if server.place.zone.Name == zone {
+				if server.location.zone.Name == zone {
 					current.model.SetCut(index, on)
 				}
 			}
@@ -195,21 +196,22 @@
 	}
 }
 
-func (w *World) operation() administration.Change {
-	w.operated++
-	return administration.Change{Operation: fmt.Sprintf("operation%d", w.operated), Author: "operator"}
+func (w *World) newChange() administration.Change {
+	w.changeCount++
+	return administration.Change{Operation: fmt.Sprintf("operation%d", w.changeCount), Author: "operator"}
 }
 
-func (w *World) markServer(fault Fault, current *databaseGroup, through *node) {
-	if !through.alive || through.paused {
+func (w *World) markServer(fault Fault, current *databaseGroup, via *node) {
+	if !via.alive || via.paused {
 		return
 	}
 	server := fault.Target % len(current.servers)
 	mark := func(leaving bool) bool {
-		key := configuration.ServerMarkKey(current.name, current.servers[server].place.id)
-		_, err := through.administer().Mark(context.Background(), key, leaving, w.operation())
+		key := configuration.ServerMarkKey(current.name, current.servers[server].location.id)
+		_, err := via.administer().Mark(context.Background(), key, leaving, w.newChange())
 		if err == nil {
-			w.history.Marks = append(w.history.Marks, history.Mark{Group: current.name, Server: server, At: w.Now(), Leaving: leaving})
+			w.history.Marks = append(w.history.Marks,
+				history.Mark{Group: current.name, Server: server, At: w.Now(), Leaving: leaving})
 		}
 		return err == nil
 	}
@@ -225,7 +227,8 @@
 	w.After(fault.For+4*time.Second, unmark)
 }
 
-// racePolicies lets two operators replace the same policy at the same moment.
+// racePolicies makes two operators replace the same version of a policy almost
+// simultaneously.
 func (w *World) racePolicies(fault Fault) {
 	current := w.groups[fault.Group%len(w.groups)]
 	key := configuration.PolicyPrefix + current.name
@@ -234,27 +237,29 @@
 		return
 	}
 	for side := range 2 {
-		through := w.nodes[(fault.Target+side)%len(w.nodes)]
-		if !through.alive || through.paused {
+		via := w.nodes[(fault.Target+side)%len(w.nodes)]
+		if !via.alive || via.paused {
 			continue
 		}
-		w.After(time.Duration(side)*time.Millisecond, func() { w.submitPolicy(through, current.name, object.Version) })
+		w.After(time.Duration(side)*time.Millisecond, func() { w.submitPolicy(via, current.name, object.Version) })
 	}
 }
 
-func (w *World) submitPolicy(through *node, service string, replaces uint64) {
-	if !through.alive || through.paused {
+func (w *World) submitPolicy(via *node, service string, replaces uint64) {
+	if !via.alive || via.paused {
 		return
 	}
-	change := w.operation()
+	change := w.newChange()
 	change.Replaces = replaces
-	outcome, err := through.administer().SubmitPolicy(context.Background(), service, PolicySource(w.settings.Table, service), change)
+	outcome, err := via.administer().SubmitPolicy(
+		context.Background(), service, PolicySource(w.settings.Table, service), change)
 	if err == nil {
-		w.history.Accepted = append(w.history.Accepted, history.Accepted{Service: service, Version: outcome.Version, Replaces: replaces, At: w.Now()})
+		w.history.Accepted = append(w.history.Accepted,
+			history.Accepted{Service: service, Version: outcome.Version, Replaces: replaces, At: w.Now()})
 	}
 }
 
-// PolicySource writes a rule table as a policy program.
+// PolicySource returns the source of the policy program for a rule table.
 func PolicySource(table policy.Table, service string) []byte {
 	rule := func(rule policy.Rule) string {
 		read := rule.Freshness.String() + "()"
@@ -273,31 +278,37 @@
 	return []byte(source)
 }
 
-// Shirebound's and Gentvaart's places as the brief gives them: three zones in
-// three regions each.
+// shireboundZones returns three zones, each in a region of its own.
 func shireboundZones() []Zone {
 	return []Zone{{"leicester", "midlands"}, {"york", "north"}, {"bristol", "west"}}
 }
 
-// RandomSettings draws a small fleet, a mixed workload and faults from a seed.
+// RandomSettings returns a small fleet with a mixed workload and faults drawn from a seed.
 func RandomSettings(seed uint64) Settings {
 	random := rand.New(rand.NewPCG(seed, 2))
 	settings := Settings{
 		Seed: seed, Duration: 24 * time.Second, Zones: shireboundZones(),
-		InZone: 250 * time.Microsecond, BetweenZones: 1500 * time.Microsecond, BetweenRegions: 20 * time.Millisecond, ToClients: 3 * time.Millisecond,
-		Nodes: 4 + random.IntN(3), Groups: 1 + random.IntN(2), Slots: 5, Connections: 40, ConnectCost: 10 * time.Millisecond,
-		ReadTime: 2 * time.Millisecond, WriteTime: 4 * time.Millisecond, ElectionDelay: time.Duration(500+random.IntN(1500)) * time.Millisecond,
-		ReceiveDelay: time.Millisecond, DatagramLoss: random.Float64() * 0.05, Duplicates: random.Float64() * 0.1,
+		InZone: 250 * time.Microsecond, BetweenZones: 1500 * time.Microsecond,
+		BetweenRegions: 20 * time.Millisecond, ToClients: 3 * time.Millisecond,
+		Nodes: 4 + random.IntN(3), Groups: 1 + random.IntN(2),
+		Slots: 5, Connections: 40, ConnectCost: 10 * time.Millisecond,
+		ReadTime: 2 * time.Millisecond, WriteTime: 4 * time.Millisecond,
+		ElectionDelay: time.Duration(500+random.IntN(1500)) * time.Millisecond,
+		ReceiveDelay:  time.Millisecond, DatagramLoss: random.Float64() * 0.05, Duplicates: random.Float64() * 0.1,
 		Table: DefaultTable(), Group: group.DefaultSettings(),
-		Workload: Workload{Clients: 12, Think: 250 * time.Millisecond, Carry: 0.5, Mix: Mix{Booking: 4, OwnRead: 6, Payment: 2, StatusWrite: 1, StatusRead: 3, Feed: 2, Manifest: 1}},
+		Workload: Workload{
+			Clients: 12, Think: 250 * time.Millisecond, Carry: 0.5,
+			Mix: Mix{Booking: 4, OwnRead: 6, Payment: 2, StatusWrite: 1, StatusRead: 3, Feed: 2, Manifest: 1},
+		},
 	}
 	const (
 		firstFault, lastFault = 4 * time.Second, 15 * time.Second
-		longest               = 6 * time.Second
+		maxDuration           = 6 * time.Second
 	)
 	for range 3 + random.IntN(5) {
 		settings.Faults = append(settings.Faults, Fault{
-			At: firstFault + time.Duration(random.Int64N(int64(lastFault-firstFault))), For: time.Duration(random.Int64N(int64(longest))),
+			At:   firstFault + time.Duration(random.Int64N(int64(lastFault-firstFault))),
+			For:  time.Duration(random.Int64N(int64(maxDuration))),
 			Kind: allFaults[random.IntN(len(allFaults))], Group: random.IntN(4), Target: random.IntN(12),
 			Lag: time.Duration(random.Int64N(int64(2 * time.Second))),
 		})
--- a/internal/lab/sim/listener.go
+++ b/internal/lab/sim/listener.go
@@ -19,12 +19,12 @@
 	session group.SessionID
 	number  uint64
 	status  byte
-	owner   string // holds the open transaction
-	visited map[string]string
+	owner   string            // node that holds the open transaction; empty without one
+	visited map[string]string // group last requested of each owner
 	busy    bool
 	closed  bool
-	// lost is called when the node ends the connection under a request.
-	lost func(byStop bool)
+	// onLost is called when the node closes the connection during a request.
+	onLost func(byStop bool)
 }
 
 // callerReply is a node's answer to a caller.
@@ -36,29 +36,29 @@
 	fromReplica bool
 }
 
-// callerRequest is what a caller asks for.
+// callerRequest is a caller's request to a node.
 type callerRequest struct {
-	group   string
-	kind    string
-	command command
-	floor   position.Position
-	caller  string
+	group       string
+	kind        string
+	statement   statement
+	minPosition position.Position
+	caller      string
 }
 
-// forwarded is a request of a caller on its way through an owner.
-type forwarded struct {
-	stream  uint64
-	conn    *callerConn
-	asked   callerRequest
-	request group.Request
-	attempt forward.Attempt
-	target  string
-	reply   func(callerReply)
-	// silentSince is when the target stopped being heard; 0 while it is.
+// forwardedRequest is a caller's request that its node has sent to an owner of the group.
+type forwardedRequest struct {
+	stream   uint64
+	conn     *callerConn
+	incoming callerRequest
+	request  group.Request
+	attempt  forward.Attempt
+	target   string
+	reply    func(callerReply)
+	// silentSince is when the target became silent; 0 while it responds.
 	silentSince time.Duration
 }
 
-// accept opens a caller's connection; nil means that the node refuses it.
+// accept opens a caller's connection. It returns nil if the node doesn't accept callers.
 func (n *node) accept() *callerConn {
 	if !n.alive || n.draining || n.view == nil || !n.view.Ready {
 		return nil
@@ -73,7 +73,7 @@
 	return conn
 }
 
-// closeCaller ends a caller's connection from its side.
+// closeCaller handles a connection that its caller has closed.
 func (n *node) closeCaller(conn *callerConn) {
 	if conn.closed {
 		return
@@ -81,28 +81,31 @@
 	conn.closed = true
 	delete(n.callers, conn)
 	for _, owner := range sortedKeys(conn.visited) {
-		n.tellSessionEnd(owner, conn.visited[owner], conn.session)
+		n.notifySessionEnd(owner, conn.visited[owner], conn.session)
 	}
 }
 
-func (n *node) tellSessionEnd(owner, groupName string, session group.SessionID) {
+func (n *node) notifySessionEnd(owner, groupName string, session group.SessionID) {
 	end := func(target *node) {
 		if current := target.owned[groupName]; current != nil {
 			current.endSession(session)
 		}
 	}
-	if owner == n.place.id {
+	if owner == n.location.id {
 		end(n)
 		return
 	}
 	if target := n.world.nodeNamed(owner); target != nil {
 		always := func() bool { return true }
 		run := target.run
-		n.world.network.bytes(n.place, target.place, always, func() { target.do(run, func() { end(target) }) })
+		n.world.network.deliverBytes(n.location, target.location, always, func() {
+			target.do(run, func() { end(target) })
+		})
 	}
 }
 
-// releaseIdleCallers ends connections without work, as a planned stop does.
+// releaseIdleCallers closes connections without a request or transaction in progress, as
+// a planned stop does.
 func (n *node) releaseIdleCallers() {
 	for conn := range n.callers {
 		if !conn.busy && conn.status == backend.Idle {
@@ -112,18 +115,18 @@
 	}
 }
 
-// loseCallers ends all connections at once.
+// loseCallers closes all callers' connections, also those with requests in progress.
 func (n *node) loseCallers(byStop bool) {
 	for _, conn := range sortedCallers(n.callers) {
 		conn.closed = true
 		delete(n.callers, conn)
-		if conn.lost != nil {
-			lost := conn.lost
-			conn.lost = nil
-			lost(byStop && conn.busy)
+		if conn.onLost != nil {
+			onLost := conn.onLost
+			conn.onLost = nil
+			onLost(byStop && conn.busy)
 		}
 	}
-	n.pending = map[uint64]*forwarded{}
+	n.pending = map[uint64]*forwardedRequest{}
 }
 
 func sortedCallers(callers map[*callerConn]bool) []*callerConn {
@@ -138,107 +141,113 @@
 	return sorted
 }
 
-// handle serves one request of a caller; reply is called in the node.
-func (n *node) handle(conn *callerConn, asked callerRequest, reply func(callerReply)) {
+// handle serves one request of a caller. reply is called in the node's process.
+func (n *node) handle(conn *callerConn, incoming callerRequest, reply func(callerReply)) {
 	switch {
 	case n.view == nil || !n.view.Ready:
 		reply(callerReply{kind: failure.NotReady})
 		return
-	case n.clock() >= n.fresh && conn.status == backend.Idle && !n.world.settings.Mutations.IgnoreStaleness:
+	case n.clock() >= n.freshUntil && conn.status == backend.Idle && !n.world.settings.Mutations.IgnoreStaleness:
 		reply(callerReply{kind: failure.Isolated})
 		return
 	}
 	rule, weight := policy.DefaultRule(), 1
-	if inForce := n.view.Config.Policies[asked.group]; inForce != nil {
-		rule, weight = inForce.Table.Rule(asked.kind), inForce.Table.Weight(asked.caller)
+	if activePolicy := n.view.Config.Policies[incoming.group]; activePolicy != nil {
+		rule, weight = activePolicy.Table.Rule(incoming.kind), activePolicy.Table.Weight(incoming.caller)
 	}
 	conn.number++
 	inTransaction := conn.status != backend.Idle
-	code := asked.command.code
+	code := incoming.statement.code
 	n.streams++
-	request := &forwarded{
-		stream: n.streams, conn: conn, asked: asked, reply: reply,
+	request := &forwardedRequest{
+		stream: n.streams, conn: conn, incoming: incoming, reply: reply,
 		request: group.Request{
-			ID: group.RequestID{Session: conn.session, Number: conn.number}, Caller: asked.caller, Weight: weight,
-			ReadOnly: code == codeRead && !rule.Write && !inTransaction, Begins: code == codeBegin, InTransaction: inTransaction,
-			MayCommit: code == codeWrite || code == codeCommit, Rule: rule, Floor: asked.floor,
+			ID: group.RequestID{Session: conn.session, Number: conn.number}, Caller: incoming.caller, Weight: weight,
+			ReadOnly: code == codeRead && !rule.Write && !inTransaction,
+			Begins:   code == codeBegin, InTransaction: inTransaction,
+			MayCommit: code == codeWrite || code == codeCommit, Rule: rule, Floor: incoming.minPosition,
 		},
 	}
-	request.attempt = forward.Attempt{ReadOnly: request.request.ReadOnly, MayCommit: request.request.MayCommit, InTransaction: inTransaction}
+	request.attempt = forward.Attempt{
+		ReadOnly: request.request.ReadOnly, MayCommit: request.request.MayCommit, InTransaction: inTransaction,
+	}
 	conn.busy = true
 	n.pending[request.stream] = request
 	n.send(request)
 }
 
-func (n *node) send(request *forwarded) {
+func (n *node) send(request *forwardedRequest) {
 	request.target = request.conn.owner
 	if request.target == "" {
-		owners := n.view.Owners(request.asked.group)
+		owners := n.view.Owners(request.incoming.group)
 		if len(owners) == 0 {
-			n.failed(request, forward.NotSent)
+			n.handleFailure(request, forward.NotSent)
 			return
 		}
 		request.target = owners[request.attempt.Tries%len(owners)]
 	}
-	if request.target == n.place.id {
-		n.serveHere(request.asked, request.request, func(reply ownerReply) { n.arrived(request.stream, reply) })
+	if request.target == n.location.id {
+		n.serveLocally(request.incoming, request.request, func(reply ownerReply) {
+			n.handleOwnerReply(request.stream, reply)
+		})
 		return
 	}
 	n.sendToPeer(request)
 }
 
-// dialTimeout is how long a peer that cannot be reached is tried.
+// dialTimeout is the time after which dialing an unreachable peer fails.
 const dialTimeout = 500 * time.Millisecond
 
-func (n *node) sendToPeer(request *forwarded) {
+func (n *node) sendToPeer(request *forwardedRequest) {
 	target := n.world.nodeNamed(request.target)
 	network := n.world.network
 	stream, tries := request.stream, request.attempt.Tries
-	current := func() bool {
+	isCurrent := func() bool {
 		found := n.pending[stream]
 		return found == request && found.attempt.Tries == tries
 	}
 	switch {
 	case !target.alive:
-		n.after(network.delay(n.place, target.place), func() {
-			if current() {
-				n.failed(request, forward.NotSent)
+		n.after(network.delay(n.location, target.location), func() {
+			if isCurrent() {
+				n.handleFailure(request, forward.NotSent)
 			}
 		})
 		return
 	case n.down[request.target]:
-		// Known to be down: dialed aside, so that no request waits.
+		// The peer is known to be down. It is redialed in the background, and requests fail
+		// without waiting.
 		n.after(0, func() {
-			if current() {
-				n.failed(request, forward.NotSent)
+			if isCurrent() {
+				n.handleFailure(request, forward.NotSent)
 			}
 		})
 		return
-	case !network.reachable(n.place, target.place):
+	case !network.reachable(n.location, target.location):
 		n.markDown(target)
 		n.after(dialTimeout, func() {
-			if current() {
-				n.failed(request, forward.NotSent)
+			if isCurrent() {
+				n.handleFailure(request, forward.NotSent)
 			}
 		})
 		return
 	}
 	run, targetRun := n.run, target.run
-	asked, submitted := request.asked, request.request
-	network.bytes(n.place, target.place, current, func() {
+	incoming, submitted := request.incoming, request.request
+	network.deliverBytes(n.location, target.location, isCurrent, func() {
 		target.do(targetRun, func() {
-			target.serveHere(asked, submitted, func(reply ownerReply) {
-				network.bytes(target.place, n.place, current, func() {
+			target.serveLocally(incoming, submitted, func(reply ownerReply) {
+				network.deliverBytes(target.location, n.location, isCurrent, func() {
 					n.do(run, func() {
-						if current() {
-							n.arrived(stream, reply)
+						if isCurrent() {
+							n.handleOwnerReply(stream, reply)
 						}
 					})
 				})
 			})
 			if n.world.chance(n.world.settings.Duplicates) {
-				target.after(network.delay(n.place, target.place), func() {
-					if owned := target.owned[asked.group]; owned != nil {
+				target.after(network.delay(n.location, target.location), func() {
+					if owned := target.owned[incoming.group]; owned != nil {
 						owned.submitDuplicate(submitted)
 					}
 				})
@@ -249,83 +258,85 @@
 	n.watchPeer(request, target, targetRun, tries)
 }
 
-// Times of a link between nodes; see package peer.
+// Health checks of a link between nodes; see package peer.
 const (
-	linkCheck    = 400 * time.Millisecond
-	silenceLimit = 1600 * time.Millisecond
+	linkCheckInterval = 400 * time.Millisecond
+	silenceTimeout    = 1600 * time.Millisecond
 )
 
-// watchPeer ends a request whose owner is gone or silent.
-func (n *node) watchPeer(request *forwarded, target *node, targetRun, tries int) {
-	n.after(linkCheck, func() {
+// watchPeer fails a request whose owner has died or is silent for too long.
+func (n *node) watchPeer(request *forwardedRequest, target *node, targetRun, tries int) {
+	n.after(linkCheckInterval, func() {
 		if n.pending[request.stream] != request || request.attempt.Tries != tries {
 			return
 		}
-		silent := target.paused || !n.world.network.reachable(n.place, target.place)
+		silent := target.paused || !n.world.network.reachable(n.location, target.location)
 		switch {
 		case !target.alive || target.run != targetRun:
-			n.linkLost(request)
+			n.handleLinkLoss(request)
 			return
 		case !silent:
 			request.silentSince = 0
 		case request.silentSince == 0:
 			request.silentSince = n.world.Now()
-		case n.world.Now()-request.silentSince >= silenceLimit:
-			n.linkLost(request)
+		case n.world.Now()-request.silentSince >= silenceTimeout:
+			n.handleLinkLoss(request)
 			return
 		}
 		n.watchPeer(request, target, targetRun, tries)
 	})
 }
 
-// redialPause is the pause between attempts to reach a peer that is down.
-const redialPause = 200 * time.Millisecond
+// redialInterval is the interval between attempts to reach a peer that is down.
+const redialInterval = 200 * time.Millisecond
 
-// markDown notes that a peer cannot be reached, until it can.
+// markDown marks a peer as unreachable until a redial succeeds.
 func (n *node) markDown(target *node) {
-	if n.down[target.place.id] {
+	if n.down[target.location.id] {
 		return
 	}
-	n.down[target.place.id] = true
+	n.down[target.location.id] = true
 	n.redial(target)
 }
 
 func (n *node) redial(target *node) {
-	n.after(redialPause, func() {
-		if target.alive && !target.paused && n.world.network.reachable(n.place, target.place) {
-			delete(n.down, target.place.id)
+	n.after(redialInterval, func() {
+		if target.alive && !target.paused && n.world.network.reachable(n.location, target.location) {
+			delete(n.down, target.location.id)
 			return
 		}
 		n.redial(target)
 	})
 }
 
-// linkLost ends a request's attempt; the owner, if it still runs, ends the session.
-func (n *node) linkLost(request *forwarded) {
+// handleLinkLoss fails a request's attempt after its link was lost. The owner, if it still
+// runs, ends the session.
+func (n *node) handleLinkLoss(request *forwardedRequest) {
 	n.markDown(n.world.nodeNamed(request.target))
-	n.tellSessionEnd(request.target, request.asked.group, request.conn.session)
-	n.failed(request, forward.LinkLost)
+	n.notifySessionEnd(request.target, request.incoming.group, request.conn.session)
+	n.handleFailure(request, forward.LinkLost)
 }
 
-// peerReset tells that another process has died.
-func (n *node) peerReset(id string) {
+// handlePeerDeath fails the requests sent to a process that has died and ends the sessions
+// that came from it.
+func (n *node) handlePeerDeath(id string) {
 	if !n.alive {
 		return
 	}
 	n.after(n.world.settings.BetweenZones, func() {
 		for _, stream := range sortedStreams(n.pending) {
 			if request := n.pending[stream]; request != nil && request.target == id {
-				n.failed(request, forward.LinkLost)
+				n.handleFailure(request, forward.LinkLost)
 			}
 		}
 		dead := n.world.nodeNamed(id)
 		for _, name := range sortedKeys(n.owned) {
-			n.owned[name].endListener(uint64(dead.index + 1))
+			n.owned[name].endSessionsOfNode(uint64(dead.index + 1))
 		}
 	})
 }
 
-func sortedStreams(pending map[uint64]*forwarded) []uint64 {
+func sortedStreams(pending map[uint64]*forwardedRequest) []uint64 {
 	streams := make([]uint64, 0, len(pending))
 	for stream := range pending {
 		streams = append(streams, stream)
@@ -338,36 +349,36 @@
 	return streams
 }
 
-// endListener ends the sessions that came from a node that has died.
-func (g *ownedGroup) endListener(nodeNumber uint64) {
+// endSessionsOfNode ends the sessions of callers of a node that has died.
+func (g *ownedGroup) endSessionsOfNode(nodeNumber uint64) {
 	sessions := map[string]group.SessionID{}
-	note := func(session group.SessionID) {
+	addIfFromNode := func(session group.SessionID) {
 		if session.Listener&0xffff == nodeNumber {
 			sessions[group.RequestID{Session: session}.String()] = session
 		}
 	}
 	for id := range g.calls {
-		note(id.Session)
+		addIfFromNode(id.Session)
 	}
 	for session := range g.pinned {
-		note(session)
+		addIfFromNode(session)
 	}
 	for _, key := range sortedKeys(sessions) {
 		g.endSession(sessions[key])
 	}
 }
 
-// serveHere serves a request as owner or stand-by.
-func (n *node) serveHere(asked callerRequest, submitted group.Request, reply func(ownerReply)) {
-	current := n.owned[asked.group]
-	if current == nil && n.mayServe(asked.group) {
-		current = n.own(asked.group)
+// serveLocally serves a request at this node if it is one of the group's owners.
+func (n *node) serveLocally(incoming callerRequest, submitted group.Request, reply func(ownerReply)) {
+	current := n.owned[incoming.group]
+	if current == nil && n.mayServe(incoming.group) {
+		current = n.own(incoming.group)
 	}
 	if current == nil {
 		reply(ownerReply{kind: failure.NotOwner})
 		return
 	}
-	current.submit(submitted, asked.command, reply)
+	current.submit(submitted, incoming.statement, reply)
 }
 
 func (n *node) mayServe(name string) bool {
@@ -375,29 +386,29 @@
 		return false
 	}
 	for _, id := range n.view.Owners(name) {
-		if id == n.place.id {
+		if id == n.location.id {
 			return true
 		}
 	}
 	return false
 }
 
-func (n *node) arrived(stream uint64, reply ownerReply) {
+func (n *node) handleOwnerReply(stream uint64, reply ownerReply) {
 	request := n.pending[stream]
 	if request == nil {
 		return
 	}
 	if reply.kind == failure.NotOwner {
-		n.failed(request, forward.NotOwner)
+		n.handleFailure(request, forward.NotOwner)
 		return
 	}
 	conn := request.conn
-	conn.visited[request.target] = request.asked.group
+	conn.visited[request.target] = request.incoming.group
 	if reply.kind == failure.None {
 		conn.status = reply.answer.status
 	} else if request.request.InTransaction {
 		conn.status = backend.Idle
-		n.tellSessionEnd(request.target, request.asked.group, conn.session)
+		n.notifySessionEnd(request.target, request.incoming.group, conn.session)
 	}
 	conn.owner = ""
 	if conn.status != backend.Idle {
@@ -406,11 +417,12 @@
 	n.answer(request, callerReply(reply))
 }
 
-// tryPause is the pause before the third and later attempts.
-const tryPause = 50 * time.Millisecond
+// retryPause is the pause before an attempt once every owner has been tried.
+const retryPause = 50 * time.Millisecond
 
-// failed decides on a failed attempt by the same rule as the real listener.
-func (n *node) failed(request *forwarded, ending forward.Ending) {
+// handleFailure retries a failed attempt or answers with the failure. It decides with
+// forward.Decide, as the real listener does.
+func (n *node) handleFailure(request *forwardedRequest, ending forward.Ending) {
 	if n.pending[request.stream] != request {
 		return
 	}
@@ -427,7 +439,7 @@
 	request.request.ID.Number = request.conn.number
 	pause := time.Duration(0)
 	if request.attempt.Tries >= core.OwnerCount {
-		pause = tryPause
+		pause = retryPause
 	}
 	n.after(pause, func() {
 		if n.pending[request.stream] == request {
@@ -436,7 +448,7 @@
 	})
 }
 
-func (n *node) answer(request *forwarded, reply callerReply) {
+func (n *node) answer(request *forwardedRequest, reply callerReply) {
 	delete(n.pending, request.stream)
 	request.conn.busy = false
 	request.reply(reply)
--- a/internal/lab/sim/network.go
+++ b/internal/lab/sim/network.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// place is where a process runs.
-type place struct {
+// location is the ID of a process and the zone in which it runs.
+type location struct {
 	zone Zone
 	id   string
 }
 
-// network delays, loses and cuts messages.
+// network simulates delays, losses and partitions.
 type network struct {
 	world *World
-	// cutZones holds zone names that cannot be reached from other zones.
+	// cutZones holds the names of zones that are isolated from other zones.
 	cutZones map[string]bool
 	// cutRegions is set while regions cannot reach each other.
 	cutRegions bool
-	// cutProcesses holds processes that can reach nobody but their own zone's servers.
+	// cutProcesses holds the IDs of processes that cannot reach any other process.
 	cutProcesses map[string]bool
 }
 
@@ -29,7 +29,7 @@
 	n.cutRegions = false
 }
 
-func (n *network) reachable(from, to place) bool {
+func (n *network) reachable(from, to location) bool {
 	if from.id == to.id {
 		return true
 	}
@@ -44,8 +44,8 @@
 	return true
 }
 
-// delay returns a one-way delay with up to a tenth of jitter.
-func (n *network) delay(from, to place) time.Duration {
+// delay returns a one-way delay with jitter of up to 10%.
+func (n *network) delay(from, to location) time.Duration {
 	settings := &n.world.settings
 	base := settings.InZone
 	switch {
@@ -59,8 +59,8 @@
 	return base + time.Duration(n.world.random.Int64N(int64(base)/10+1))
 }
 
-// datagram delivers once, twice or not at all.
-func (n *network) datagram(from, to place, deliver func()) {
+// deliverDatagram calls deliver once, twice or, if the datagram is lost, not at all.
+func (n *network) deliverDatagram(from, to location, deliver func()) {
 	if !n.reachable(from, to) || n.world.chance(n.world.settings.DatagramLoss) {
 		return
 	}
@@ -70,12 +70,12 @@
 	}
 }
 
-// retransmit is the pause between attempts to get bytes through a cut.
-const retransmit = 100 * time.Millisecond
+// retransmitInterval is the interval between attempts to send bytes during a partition.
+const retransmitInterval = 100 * time.Millisecond
 
-// bytes delivers bytes of an open connection: through a cut they arrive when it
-// heals, unless the connection has been closed by then.
-func (n *network) bytes(from, to place, open func() bool, deliver func()) {
+// deliverBytes delivers bytes of an open connection. During a partition they are delayed
+// until it ends, and dropped if the connection has been closed by then.
+func (n *network) deliverBytes(from, to location, open func() bool, deliver func()) {
 	if !open() {
 		return
 	}
@@ -83,5 +83,5 @@
 		n.world.After(n.delay(from, to), deliver)
 		return
 	}
-	n.world.After(retransmit, func() { n.bytes(from, to, open, deliver) })
+	n.world.After(retransmitInterval, func() { n.deliverBytes(from, to, open, deliver) })
 }
--- a/internal/lab/sim/node.go
+++ b/internal/lab/sim/node.go
@@ -13,45 +13,44 @@
 	"dewknot/internal/postgres/objectapi"
 )
 
-// node is one simulated node. Its reducers are the real ones.
+// node is a simulated node. It runs the same reducers as a real node.
 type node struct {
-	world   *World
-	index   int
-	place   place
-	run     int // counts restarts
-	started time.Duration
-	alive   bool
-
-	paused   bool
-	backlog  []func()
-	control  *core.Control
-	view     *core.View
-	fresh    time.Duration
-	watching bool
-	owned    map[string]*ownedGroup
-	pending  map[uint64]*forwarded // requests of this node's callers
-	streams  uint64
-	callers  map[*callerConn]bool
-	// down holds the peers that are known to be unreachable.
+	world    *World
+	index    int
+	location location
+	run      int // counts restarts
+	started  time.Duration
+	alive    bool
+
+	paused     bool
+	backlog    []func()
+	control    *core.Control
+	view       *core.View
+	freshUntil time.Duration
+	watching   bool
+	owned      map[string]*ownedGroup
+	pending    map[uint64]*forwardedRequest // requests of this node's callers
+	streams    uint64
+	callers    map[*callerConn]bool
+	// down holds the IDs of peers that are known to be unreachable.
 	down     map[string]bool
 	sessions uint64
 	draining bool
 	presence *history.Presence
 	versions map[string]uint64
-	controls uint64 // invalidates older control wake-ups
-	// drift is how much faster the node's clock runs than the world's; offset is
-	// how far ahead it began.
+	wakeUps  uint64 // number of the latest scheduled wake-up; earlier ones are ignored
+	// drift is the relative rate error of the node's clock, offset its error at the start.
 	drift  float64
 	offset time.Duration
 }
 
-// Limits of the clocks' errors.
+// Maximum errors of the nodes' clocks.
 const (
-	greatestDrift  = 0.02
-	greatestOffset = 10 * time.Second
+	maxDrift  = 0.02
+	maxOffset = 10 * time.Second
 )
 
-// clock is the node's own time.
+// clock returns the time of the node's clock, which differs from the world's.
 func (n *node) clock() time.Duration {
 	return n.offset + time.Duration(float64(n.world.Now())*(1+n.drift))
 }
@@ -60,12 +59,15 @@
 
 func newNode(world *World, index int) *node {
 	return &node{
-		world: world, index: index, place: place{zone: world.zone(index), id: nodeID(index)}, versions: map[string]uint64{},
-		drift: greatestDrift * (2*world.random.Float64() - 1), offset: time.Duration(world.random.Int64N(int64(greatestOffset))),
+		world: world, index: index, location: location{zone: world.zone(index), id: nodeID(index)},
+		versions: map[string]uint64{},
+		drift:    maxDrift * (2*world.random.Float64() - 1),
+		offset:   time.Duration(world.random.Int64N(int64(maxOffset))),
 	}
 }
 
-// do runs work in the process: later if it is paused, never if this run has ended.
+// do runs work in the process. If the process is paused, the work runs when it resumes; if
+// this run of the process has ended, the work is dropped.
 func (n *node) do(run int, work func()) {
 	switch {
 	case !n.alive || n.run != run:
@@ -76,7 +78,7 @@
 	}
 }
 
-// after schedules work in the process.
+// after schedules work in the current run of the process.
 func (n *node) after(delay time.Duration, work func()) {
 	run := n.run
 	n.world.After(delay, func() { n.do(run, work) })
@@ -90,41 +92,43 @@
 	n.alive, n.paused, n.draining, n.watching = true, false, false, false
 	n.backlog = nil
 	n.owned = map[string]*ownedGroup{}
-	n.pending = map[uint64]*forwarded{}
+	n.pending = map[uint64]*forwardedRequest{}
 	n.callers = map[*callerConn]bool{}
 	n.down = map[string]bool{}
 	n.view = nil
-	n.fresh = 0
+	n.freshUntil = 0
 	n.versions = map[string]uint64{}
 	self := membership.Member{
-		ID: n.place.id, Zone: n.place.zone.Name, Incarnation: uint64(n.world.Now()/time.Millisecond) + 1,
-		Addresses: membership.Addresses{Gossip: n.place.id, Peer: n.place.id},
+		ID: n.location.id, Zone: n.location.zone.Name, Incarnation: uint64(n.world.Now()/time.Millisecond) + 1,
+		Addresses: membership.Addresses{Gossip: n.location.id, Peer: n.location.id},
 	}
 	seeds := []string{nodeID(0), nodeID(1), nodeID(2)}
-	machine := membership.New(membership.DefaultSettings(), self, seeds, n.world.settings.Seed^uint64(n.index+1)<<20^uint64(n.run))
+	machine := membership.New(membership.DefaultSettings(), self, seeds,
+		n.world.settings.Seed^uint64(n.index+1)<<20^uint64(n.run))
 	n.control = core.NewControl(machine)
 	n.control.Configuration().AcceptOlder = n.world.settings.Mutations.AcceptOlder
 	n.step(core.Tick{})
 	n.started = n.world.Now()
-	n.after(joinRetry, n.joinFromStore)
+	n.after(joinRetryInterval, n.joinFromStore)
 	n.maintain()
 }
 
-// step applies a control event and carries out its effects.
+// step applies an event to the control reducer, performs the effects and schedules the next
+// wake-up.
 func (n *node) step(event core.Event) {
 	for _, effect := range n.control.Step(n.clock(), event) {
-		n.carryOut(effect)
+		n.perform(effect)
 	}
-	n.controls++
-	current := n.controls
+	n.wakeUps++
+	current := n.wakeUps
 	n.after(n.control.NextWake()-n.clock(), func() {
-		if current == n.controls {
+		if current == n.wakeUps {
 			n.step(core.Tick{})
 		}
 	})
 }
 
-func (n *node) carryOut(effect core.Effect) {
+func (n *node) perform(effect core.Effect) {
 	switch typed := effect.(type) {
 	case core.Send:
 		n.sendDatagram(typed)
@@ -135,7 +139,7 @@
 	case core.Publish:
 		n.publish(typed.View)
 	case core.Freshened:
-		n.fresh = typed.Until
+		n.freshUntil = typed.Until
 		for _, name := range sortedKeys(n.owned) {
 			n.owned[name].markLeaving()
 			n.owned[name].step(group.Fresh{Until: typed.Until})
@@ -149,23 +153,23 @@
 		return
 	}
 	message := send.Message
-	n.world.network.datagram(n.place, target.place, func() {
+	n.world.network.deliverDatagram(n.location, target.location, func() {
 		target.do(target.run, func() { target.step(core.Datagram{Message: message}) })
 	})
 }
 
 func (w *World) nodeNamed(id string) *node {
 	for _, current := range w.nodes {
-		if current.place.id == id {
+		if current.location.id == id {
 			return current
 		}
 	}
 	return nil
 }
 
-// sync asks a peer over a connection: it answers, or the wait ends in failure.
+// sync requests the state of a peer over a connection. It fails after a timeout.
 func (n *node) sync(effect core.StartSync) {
-	const patience = 2 * time.Second
+	const syncTimeout = 2 * time.Second
 	done := false
 	finish := func(answer core.SyncAnswer) {
 		if !done {
@@ -173,28 +177,28 @@
 			n.step(answer)
 		}
 	}
-	n.after(patience, func() { finish(core.SyncAnswer{Peer: effect.Peer, Failed: true}) })
+	n.after(syncTimeout, func() { finish(core.SyncAnswer{Peer: effect.Peer, Failed: true}) })
 	target := n.world.nodeNamed(effect.Peer)
 	if target == nil {
 		return
 	}
 	waiting := func() bool { return !done }
 	run := n.run
-	n.world.network.bytes(n.place, target.place, waiting, func() {
+	n.world.network.deliverBytes(n.location, target.location, waiting, func() {
 		target.do(target.run, func() {
 			state := target.control.AnswerSync(effect.Since, effect.Members)
-			n.world.network.bytes(target.place, n.place, waiting, func() {
+			n.world.network.deliverBytes(target.location, n.location, waiting, func() {
 				n.do(run, func() { finish(core.SyncAnswer{Peer: effect.Peer, Answer: state}) })
 			})
 		})
 	})
 }
 
-// peersFirst is how long a newcomer tries its peers before the store; joinRetry is
-// the pause between its questions to the store.
+// A starting node tries its peers alone for peersOnlyPeriod and then lists the store as
+// well, every joinRetryInterval, until it is ready.
 const (
-	peersFirst = time.Second
-	joinRetry  = 300 * time.Millisecond
+	peersOnlyPeriod   = time.Second
+	joinRetryInterval = 300 * time.Millisecond
 )
 
 func (n *node) joinFromStore() {
@@ -202,15 +206,15 @@
 		return
 	}
 	since := n.control.Configuration().Complete()
-	if since > 0 || n.world.Now() >= n.started+peersFirst {
-		n.askStore(since)
+	if since > 0 || n.world.Now() >= n.started+peersOnlyPeriod {
+		n.listStore(since)
 	}
-	n.after(joinRetry, n.joinFromStore)
+	n.after(joinRetryInterval, n.joinFromStore)
 }
 
-// askStore reads everything above a revision from the store.
-func (n *node) askStore(since uint64) {
-	askedAt := n.clock()
+// listStore reads the objects above a revision from the store.
+func (n *node) listStore(since uint64) {
+	requestedAt := n.clock()
 	n.after(storeDelay, func() {
 		if !n.canReachStore() {
 			return
@@ -220,14 +224,16 @@
 			return
 		}
 		n.after(storeDelay, func() {
-			n.step(core.StoreListing{Since: since, Objects: objects, Complete: complete, AskedAt: askedAt})
+			n.step(core.StoreListing{
+				Since: since, Objects: objects, Complete: complete, AskedAt: requestedAt,
+			})
 		})
 	})
 }
 
-func (n *node) canReachStore() bool { return !n.world.network.cutProcesses[n.place.id] }
+func (n *node) canReachStore() bool { return !n.world.network.cutProcesses[n.location.id] }
 
-// watchInterval is how often a store reader looks for changes.
+// watchInterval is the interval at which a node that watches the store polls it.
 const watchInterval = 250 * time.Millisecond
 
 func (n *node) setWatch(on bool) {
@@ -242,7 +248,7 @@
 	if !n.watching {
 		return
 	}
-	n.askStore(n.control.Configuration().Complete())
+	n.listStore(n.control.Configuration().Complete())
 	n.after(watchInterval, n.watch)
 }
 
@@ -255,7 +261,7 @@
 		}
 		n.versions[service] = policy.Version
 		n.world.history.InForce = append(n.world.history.InForce, history.InForce{
-			Node: n.place.id, Run: n.run, Service: service, Version: policy.Version, At: n.world.Now(),
+			Node: n.location.id, Run: n.run, Service: service, Version: policy.Version, At: n.world.Now(),
 		})
 	}
 	if view.Ready {
@@ -263,10 +269,10 @@
 	}
 }
 
-// beginPresence notes that the node serves and can be reached.
+// beginPresence begins a recorded period in which the node serves and is reachable.
 func (n *node) beginPresence() {
 	if n.presence == nil && n.alive && !n.paused && n.view != nil && n.view.Ready {
-		n.presence = &history.Presence{Node: n.place.id, Run: n.run, From: n.world.Now()}
+		n.presence = &history.Presence{Node: n.location.id, Run: n.run, From: n.world.Now()}
 	}
 }
 
@@ -278,20 +284,20 @@
 	}
 }
 
-// maintainInterval is how often a node looks at its groups.
+// maintainInterval is the interval at which a node updates its groups.
 const maintainInterval = 200 * time.Millisecond
 
 func (n *node) maintain() {
 	if n.view != nil && n.view.Ready {
 		n.updateGroups()
-		if n.view.Config.LeavingNodes[n.place.id] && !n.draining {
+		if n.view.Config.LeavingNodes[n.location.id] && !n.draining {
 			n.drain()
 		}
 	}
 	n.after(maintainInterval, n.maintain)
 }
 
-// kill ends the process at once: connections are reset, memory is lost.
+// kill ends the process abruptly: connections are reset and its memory is lost.
 func (n *node) kill() {
 	if !n.alive {
 		return
@@ -303,11 +309,11 @@
 	}
 	n.loseCallers(false)
 	for _, other := range n.world.nodes {
-		other.peerReset(n.place.id)
+		other.handlePeerDeath(n.location.id)
 	}
 }
 
-// heal starts the process if it is dead and lets it run on if it is paused.
+// heal starts the process if it is not running and resumes it if it is paused.
 func (n *node) heal() {
 	if !n.alive {
 		n.startProcess()
@@ -336,29 +342,29 @@
 	n.beginPresence()
 }
 
-// drain stops the node as planned: no new callers, work in progress ends, then
-// the process ends.
+// drain begins a planned stop: the node accepts no new callers, waits for work in progress
+// and then ends its process.
 func (n *node) drain() {
 	if !n.alive || n.draining {
 		return
 	}
 	n.draining = true
 	if n.world.settings.Mutations.DropOnStop {
-		n.stopNow()
+		n.terminate()
 		return
 	}
 	n.step(core.Drain{})
 	n.endPresence()
-	n.drainMore(n.world.Now() + drainLimit)
+	n.continueDrain(n.world.Now() + drainTimeout)
 }
 
 // Times of a planned stop.
 const (
-	drainLimit = 10 * time.Second
-	drainPoll  = 50 * time.Millisecond
+	drainTimeout      = 10 * time.Second
+	drainPollInterval = 50 * time.Millisecond
 )
 
-func (n *node) drainMore(deadline time.Duration) {
+func (n *node) continueDrain(deadline time.Duration) {
 	n.releaseIdleCallers()
 	busy := len(n.callers) + len(n.pending)
 	for _, name := range sortedKeys(n.owned) {
@@ -369,24 +375,27 @@
 		busy += current.machine.InProgress() + current.machine.OpenTransactions()
 	}
 	if busy == 0 || n.world.Now() >= deadline {
-		n.stopNow()
+		n.terminate()
 		return
 	}
-	n.after(drainPoll, func() { n.drainMore(deadline) })
+	n.after(drainPollInterval, func() { n.continueDrain(deadline) })
 }
 
-// stopNow ends the process of a planned stop; what is still in progress is cut.
-func (n *node) stopNow() {
+// terminate ends the process at the end of a planned stop. Requests that are still in
+// progress are cut off.
+func (n *node) terminate() {
 	n.loseCallers(true)
 	n.kill()
 }
 
-// administer returns the service by which operators change configuration here.
+// administer returns the service through which operators change configuration at this node.
 func (n *node) administer() *administration.Service {
 	run := n.run
-	service := administration.New(n.world.store, false, func() time.Time { return time.Unix(0, int64(n.world.Now())) }, func(object objectapi.Object) {
-		n.do(run, func() { n.step(core.Accepted{Object: object}) })
-	})
+	service := administration.New(n.world.store, false,
+		func() time.Time { return time.Unix(0, int64(n.world.Now())) },
+		func(object objectapi.Object) {
+			n.do(run, func() { n.step(core.Accepted{Object: object}) })
+		})
 	service.SetPause(func(context.Context, time.Duration) bool { return true })
 	return service
 }
--- a/internal/lab/sim/owner.go
+++ b/internal/lab/sim/owner.go
@@ -12,8 +12,8 @@
 	"dewknot/internal/postgres/group"
 )
 
-// ownedGroup is a group at a node that serves it: the real machine, with
-// simulated connections.
+// ownedGroup is a group at a node that serves it. It runs the real state machine of package
+// group over simulated connections.
 type ownedGroup struct {
 	node    *node
 	name    string
@@ -23,24 +23,24 @@
 	pinned  map[group.SessionID]*serverConn
 	idle    [][]*serverConn
 	conns   []map[*serverConn]bool
-	wakes   uint64
-	// lastPinned is the connection that the mutation SharePinned lends out.
+	wakeUps uint64
+	// lastPinned is the connection that the mutation SharePinned gives to other sessions.
 	lastPinned *serverConn
 	tracer     *trace.GroupWriter
 	lastAnswer serverAnswer
 }
 
-// call is a request at its owner.
+// call is a request in progress at an owner.
 type call struct {
-	request group.Request
-	command command
-	answer  serverAnswer
-	conn    *serverConn
-	reply   func(ownerReply)
-	runs    int
+	request   group.Request
+	statement statement
+	answer    serverAnswer
+	conn      *serverConn
+	reply     func(ownerReply)
+	runs      int
 }
 
-// ownerReply is an owner's answer to a listener.
+// ownerReply is an owner's answer to the node of the caller.
 type ownerReply struct {
 	kind        failure.Kind
 	retryAfter  time.Duration
@@ -58,12 +58,12 @@
 	return keys
 }
 
-// updateGroups follows the view like owner.Groups does.
+// updateGroups adds and updates groups according to the view, as owner.Groups does.
 func (n *node) updateGroups() {
 	for _, name := range sortedKeys(n.view.Config.Groups) {
 		owners := n.view.Owners(name)
-		serve := slices.Contains(owners, n.place.id) && !n.draining
-		if len(owners) > 0 && owners[0] == n.place.id && serve && n.owned[name] == nil {
+		serve := slices.Contains(owners, n.location.id) && !n.draining
+		if len(owners) > 0 && owners[0] == n.location.id && serve && n.owned[name] == nil {
 			n.own(name)
 		}
 		if current := n.owned[name]; current != nil {
@@ -91,7 +91,7 @@
 		created.tracer = world.tracer
 	}
 	n.owned[name] = created
-	created.step(group.Fresh{Until: n.fresh})
+	created.step(group.Fresh{Until: n.freshUntil})
 	created.update(true)
 	return created
 }
@@ -101,15 +101,15 @@
 	g.markLeaving()
 }
 
-// markLeaving passes the view's marks to the machine.
+// markLeaving tells the machine which servers the view marks as leaving.
 func (g *ownedGroup) markLeaving() {
 	for index, server := range g.target.servers {
-		leaving := g.node.view.Config.LeavingServers[g.name+"/"+server.place.id]
+		leaving := g.node.view.Config.LeavingServers[g.name+"/"+server.location.id]
 		g.step(group.Leaving{Server: index, On: leaving})
 	}
 }
 
-// crash ends everything with its process: servers see their connections reset.
+// crash resets the connections to the servers after the process has died.
 func (g *ownedGroup) crash() {
 	for index := range g.conns {
 		for conn := range g.conns[index] {
@@ -126,45 +126,45 @@
 		g.tracer.Step(g.node.clock(), event, effects)
 	}
 	for _, effect := range effects {
-		g.carryOut(effect)
+		g.perform(effect)
 	}
-	g.wakes++
-	current := g.wakes
+	g.wakeUps++
+	current := g.wakeUps
 	g.node.after(g.machine.NextWake()-g.node.clock(), func() {
-		if current == g.wakes {
+		if current == g.wakeUps {
 			g.step(group.Tick{})
 		}
 	})
 }
 
-func (g *ownedGroup) carryOut(effect group.Effect) {
+func (g *ownedGroup) perform(effect group.Effect) {
 	switch typed := effect.(type) {
 	case group.Run:
 		g.run(typed)
 	case group.Reply:
 		g.reply(typed)
 	case group.Ask:
-		g.ask(typed)
+		g.pollStatus(typed)
 	case group.Disconnect:
 		g.disconnect(typed.Server)
 	case group.Abort:
 		g.closeConn(g.pinned[typed.Session])
 		delete(g.pinned, typed.Session)
 	case group.CancelRun:
-		// The servers' statements are short; cancel requests arrive too late.
+		// Not simulated: statements are so short that cancel requests would arrive too late.
 	}
 }
 
-// submit takes a request from a listener.
-func (g *ownedGroup) submit(submitted group.Request, asked command, reply func(ownerReply)) {
+// submit begins a request that a caller's node has sent.
+func (g *ownedGroup) submit(submitted group.Request, stmt statement, reply func(ownerReply)) {
 	if g.calls[submitted.ID] != nil {
-		return // a duplicated frame
+		return // duplicate frame
 	}
-	g.calls[submitted.ID] = &call{request: submitted, command: asked, reply: reply}
+	g.calls[submitted.ID] = &call{request: submitted, statement: stmt, reply: reply}
 	g.step(group.Arrive{Request: submitted})
 }
 
-// submitDuplicate delivers a frame a second time.
+// submitDuplicate simulates a duplicate frame of a request.
 func (g *ownedGroup) submitDuplicate(submitted group.Request) {
 	g.step(group.Arrive{Request: submitted})
 }
@@ -190,7 +190,10 @@
 		answer = g.lastAnswer
 	}
 	g.lastAnswer = current.answer
-	current.reply(ownerReply{kind: effect.Kind, retryAfter: effect.RetryAfter, answer: answer, position: effect.Position, fromReplica: effect.FromReplica})
+	current.reply(ownerReply{
+		kind: effect.Kind, retryAfter: effect.RetryAfter, answer: answer,
+		position: effect.Position, fromReplica: effect.FromReplica,
+	})
 }
 
 // run starts a request on a connection, dialing one if none is idle.
@@ -200,24 +203,25 @@
 		return
 	}
 	if effect.Pinned {
-		g.runOn(current, effect, g.pinned[effect.ID.Session])
+		g.runOnConnection(current, effect, g.pinned[effect.ID.Session])
 		return
 	}
-	if shared := g.lastPinned; g.world().settings.Mutations.SharePinned && shared != nil && !shared.closed && shared.inTx && shared.server.index == effect.Server {
-		g.runOn(current, effect, shared)
+	if shared := g.lastPinned; g.world().settings.Mutations.SharePinned && shared != nil &&
+		!shared.closed && shared.inTx && shared.server.index == effect.Server {
+		g.runOnConnection(current, effect, shared)
 		return
 	}
 	idle := g.idle[effect.Server]
 	if last := len(idle) - 1; last >= 0 {
 		g.idle[effect.Server] = idle[:last]
-		g.runOn(current, effect, idle[last])
+		g.runOnConnection(current, effect, idle[last])
 		return
 	}
-	g.dial(effect, func(conn *serverConn) { g.runOn(current, effect, conn) })
+	g.dial(effect, func(conn *serverConn) { g.runOnConnection(current, effect, conn) })
 }
 
-// dialPatience is after how long an unanswered dial has failed.
-const dialPatience = 3 * time.Second
+// serverDialTimeout is the time after which dialing a server fails.
+const serverDialTimeout = 3 * time.Second
 
 func (g *ownedGroup) dial(effect group.Run, then func(*serverConn)) {
 	server := g.target.servers[effect.Server]
@@ -234,17 +238,17 @@
 		then(conn)
 	}
 	waiting := func() bool { return !done }
-	g.node.after(dialPatience, func() {
+	g.node.after(serverDialTimeout, func() {
 		if !done {
 			finish(nil)
 		}
 	})
 	run := g.node.run
-	g.world().network.bytes(g.node.place, server.place, waiting, func() {
+	g.world().network.deliverBytes(g.node.location, server.location, waiting, func() {
 		server.do(func() {
-			conn := server.connect(g.node.place)
+			conn := server.connect(g.node.location)
 			g.world().After(g.world().settings.ConnectCost, func() {
-				g.world().network.bytes(server.place, g.node.place, waiting, func() {
+				g.world().network.deliverBytes(server.location, g.node.location, waiting, func() {
 					if !g.node.alive || g.node.run != run {
 						if conn != nil {
 							conn.close()
@@ -258,13 +262,13 @@
 	})
 }
 
-func (g *ownedGroup) runOn(current *call, effect group.Run, conn *serverConn) {
+func (g *ownedGroup) runOnConnection(current *call, effect group.Run, conn *serverConn) {
 	if conn != nil && !conn.closed && !effect.Pinned && !g.machine.MayBegin(g.node.clock(), effect.Server) {
 		g.idle[effect.Server] = append(g.idle[effect.Server], conn)
 		conn = nil
 	}
 	if conn == nil || conn.closed {
-		g.finish(effect, group.RunResult{Outcome: group.NotStarted})
+		g.reportResult(effect, group.RunResult{Outcome: group.NotStarted})
 		return
 	}
 	current.conn = conn
@@ -274,26 +278,27 @@
 	run := g.node.run
 	open := func() bool { return !conn.closed }
 	answered := func(answer serverAnswer) {
-		g.world().network.bytes(server.place, g.node.place, open, func() {
+		g.world().network.deliverBytes(server.location, g.node.location, open, func() {
 			g.node.do(run, func() {
 				if current.runs == attempt && current.conn == conn {
-					g.completed(current, effect, conn, answer)
+					g.handleAnswer(current, effect, conn, answer)
 				}
 			})
 		})
 	}
-	g.world().network.bytes(g.node.place, server.place, open, func() {
-		server.do(func() { server.execute(conn, current.command, !effect.Pinned, answered) })
+	g.world().network.deliverBytes(g.node.location, server.location, open, func() {
+		server.do(func() { server.execute(conn, current.statement, !effect.Pinned, answered) })
 	})
 	g.watchConn(current, effect, conn, attempt)
 }
 
-// connCheck is how often an owner notices that a server has closed a connection.
-const connCheck = 20 * time.Millisecond
+// connCheckInterval is the interval at which an owner checks the connection of a running
+// statement.
+const connCheckInterval = 20 * time.Millisecond
 
-// watchConn ends a run whose connection was closed under it.
+// watchConn reports a statement as lost if its connection is closed while it runs.
 func (g *ownedGroup) watchConn(current *call, effect group.Run, conn *serverConn, attempt int) {
-	g.node.after(connCheck, func() {
+	g.node.after(connCheckInterval, func() {
 		if current.conn != conn || current.runs != attempt {
 			return
 		}
@@ -303,14 +308,14 @@
 			if effect.Pinned {
 				delete(g.pinned, effect.ID.Session)
 			}
-			g.finish(effect, group.RunResult{Outcome: group.Lost})
+			g.reportResult(effect, group.RunResult{Outcome: group.Lost})
 			return
 		}
 		g.watchConn(current, effect, conn, attempt)
 	})
 }
 
-func (g *ownedGroup) completed(current *call, effect group.Run, conn *serverConn, answer serverAnswer) {
+func (g *ownedGroup) handleAnswer(current *call, effect group.Run, conn *serverConn, answer serverAnswer) {
 	current.conn = nil
 	current.answer = answer
 	open := answer.status != backend.Idle
@@ -328,13 +333,15 @@
 		g.idle[effect.Server] = append(g.idle[effect.Server], conn)
 	}
 	if answer.readOnly {
-		g.finish(effect, group.RunResult{Outcome: group.NotStarted})
+		g.reportResult(effect, group.RunResult{Outcome: group.NotStarted})
 		return
 	}
-	g.finish(effect, group.RunResult{Outcome: group.Completed, Wrote: answer.wrote, Position: answer.position, TransactionOpen: open})
+	g.reportResult(effect, group.RunResult{
+		Outcome: group.Completed, Wrote: answer.wrote, Position: answer.position, TransactionOpen: open,
+	})
 }
 
-func (g *ownedGroup) finish(effect group.Run, result group.RunResult) {
+func (g *ownedGroup) reportResult(effect group.Run, result group.RunResult) {
 	g.step(group.Finish{ID: effect.ID, Server: effect.Server, Result: result})
 }
 
@@ -354,39 +361,39 @@
 	g.idle[server] = nil
 }
 
-// ask sends a status question. Questions and answers may get lost or be late;
-// the machine has its own time limit.
-func (g *ownedGroup) ask(effect group.Ask) {
+// pollStatus requests the status of a server. Requests and answers may be lost or late; the
+// machine has a timeout of its own.
+func (g *ownedGroup) pollStatus(effect group.Ask) {
 	server := g.target.servers[effect.Server]
 	run := g.node.run
 	network := g.world().network
-	if !network.reachable(g.node.place, server.place) {
+	if !network.reachable(g.node.location, server.location) {
 		return
 	}
-	g.world().After(network.delay(g.node.place, server.place), func() {
+	g.world().After(network.delay(g.node.location, server.location), func() {
 		server.do(func() {
 			if g.target.model.Down(server.index) {
-				g.refuseAsk(effect, server, run)
+				g.sendStatusFailure(effect, server, run)
 				return
 			}
 			report := g.target.model.Report(server.index)
-			g.answerAsk(server, run, group.StatusAnswer{Server: effect.Server, Ask: effect.Number, Report: report})
+			g.sendStatus(server, run, group.StatusAnswer{Server: effect.Server, Ask: effect.Number, Report: report})
 		})
 	})
 }
 
-func (g *ownedGroup) refuseAsk(effect group.Ask, server *databaseServer, run int) {
-	g.answerAsk(server, run, group.StatusFailure{Server: effect.Server, Ask: effect.Number})
+func (g *ownedGroup) sendStatusFailure(effect group.Ask, server *databaseServer, run int) {
+	g.sendStatus(server, run, group.StatusFailure{Server: effect.Server, Ask: effect.Number})
 }
 
-func (g *ownedGroup) answerAsk(server *databaseServer, run int, event group.Event) {
+func (g *ownedGroup) sendStatus(server *databaseServer, run int, event group.Event) {
 	network := g.world().network
-	if !network.reachable(server.place, g.node.place) {
+	if !network.reachable(server.location, g.node.location) {
 		return
 	}
 	deliver := func() { g.node.do(run, func() { g.step(event) }) }
-	g.world().After(network.delay(server.place, g.node.place), deliver)
+	g.world().After(network.delay(server.location, g.node.location), deliver)
 	if g.world().chance(g.world().settings.Duplicates) {
-		g.world().After(3*network.delay(server.place, g.node.place), deliver)
+		g.world().After(3*network.delay(server.location, g.node.location), deliver)
 	}
 }
--- a/internal/lab/sim/store.go
+++ b/internal/lab/sim/store.go
@@ -10,18 +10,20 @@
 	"dewknot/internal/postgres/objectapi"
 )
 
-// objectStore is the platform's store: the stand-in's state without its HTTP.
+// objectStore is the platform's object store: the stand-in store without its HTTP interface.
 type objectStore struct {
 	world *World
 	inner *store.Store
-	// objects holds what the store has taken, complete at every change.
+	// objects holds the stored objects, updated with every change.
 	objects     *configuration.State
 	down        bool
 	loseAnswers int
 }
 
 func newObjectStore(world *World) *objectStore {
-	return &objectStore{world: world, inner: store.NewStore(store.Settings{Readers: 8}), objects: configuration.NewState()}
+	return &objectStore{
+		world: world, inner: store.NewStore(store.Settings{Readers: 8}), objects: configuration.NewState(),
+	}
 }
 
 func (s *objectStore) heal() {
@@ -32,7 +34,7 @@
 func (s *objectStore) put(key string, value any, match uint64) {
 	encoded, err := json.Marshal(value)
 	if err != nil {
-		panic(err) // values of the simulator itself
+		panic(err) // the simulator's own values can be encoded
 	}
 	if _, err := s.Put(context.Background(), key, encoded, match); err != nil {
 		panic(err)
@@ -44,7 +46,8 @@
 	for index, current := range s.world.groups {
 		config := configuration.Group{Slots: s.world.settings.Slots, Connections: s.world.settings.Connections}
 		for _, server := range current.servers {
-			config.Servers = append(config.Servers, configuration.Server{Address: server.place.id, Zone: server.place.zone.Name})
+			config.Servers = append(config.Servers,
+				configuration.Server{Address: server.location.id, Zone: server.location.zone.Name})
 		}
 		s.put(configuration.GroupPrefix+current.name, config, 0)
 		table := s.world.settings.Table
@@ -66,7 +69,9 @@
 }
 
 // Put implements administration.Store.
-func (s *objectStore) Put(_ context.Context, key string, value json.RawMessage, version uint64) (objectapi.Object, error) {
+func (s *objectStore) Put(
+	_ context.Context, key string, value json.RawMessage, version uint64,
+) (objectapi.Object, error) {
 	return s.change(key, value, version, false)
 }
 
@@ -75,7 +80,9 @@
 	return s.change(key, nil, version, true)
 }
 
-func (s *objectStore) change(key string, value json.RawMessage, version uint64, deleted bool) (objectapi.Object, error) {
+func (s *objectStore) change(
+	key string, value json.RawMessage, version uint64, deleted bool,
+) (objectapi.Object, error) {
 	if s.down {
 		return objectapi.Object{}, &objectapi.Error{Kind: objectapi.AnswerLost, Message: "store is down"}
 	}
--- a/internal/lab/sim/world.go
+++ b/internal/lab/sim/world.go
@@ -1,10 +1,9 @@
-// Package sim runs whole fleets on virtual time in one process: the nodes'
-// reducers, the group model of package replication, a store, callers and a
-// network with faults.
+// Package sim simulates a whole fleet in one process on virtual time: the nodes with their
+// real reducers, database servers that replicate by the model of package replication, an
+// object store, callers and a network with faults.
 //
-// Everything happens in one goroutine, in the order of an event queue, and all
-// randomness comes from one seeded generator: the same settings give the same
-// history to the byte.
+// Everything runs in one goroutine, in the order of an event queue, and all randomness comes
+// from seeded generators. The same settings therefore give the same history, byte for byte.
 package sim
 
 import (
@@ -24,7 +23,7 @@
 type Settings struct {
 	Seed     uint64
 	Duration time.Duration
-	// Zones lists the zones with their regions, in the order of placement.
+	// Zones lists the zones in which nodes and servers are placed, in round-robin order.
 	Zones []Zone
 	// InZone, BetweenZones, BetweenRegions and ToClients are one-way delays.
 	InZone, BetweenZones, BetweenRegions, ToClients time.Duration
@@ -32,10 +31,10 @@
 	Groups                                          int
 	Slots, Connections                              int
 	ConnectCost                                     time.Duration
-	// ReadTime and WriteTime are how long statements hold a slot.
+	// ReadTime and WriteTime are the mean times for which statements occupy a slot.
 	ReadTime, WriteTime time.Duration
 	ElectionDelay       time.Duration
-	// ReceiveDelay is the replication delay beyond the network's.
+	// ReceiveDelay is the replication delay in addition to the network's delay.
 	ReceiveDelay time.Duration
 	Workload     Workload
 	Faults       []Fault
@@ -45,17 +44,17 @@
 	// Trace, if set, records the machine of group0 at the first node that owns it.
 	Trace io.Writer
 	Group group.Settings
-	// Mutations break single mechanisms; only tests of checkers set them.
+	// Mutations break single mechanisms. Only tests of the checker set them.
 	Mutations Mutations
 }
 
-// Mutations break one mechanism outside the group's machine each.
+// Mutations each break one mechanism outside the group's state machine.
 type Mutations struct {
-	// IgnoreStaleness lets nodes begin new work on knowledge of any age.
+	// IgnoreStaleness lets nodes begin new work with arbitrarily old configuration.
 	IgnoreStaleness bool
-	// SharePinned lends a transaction's connection to other sessions.
+	// SharePinned gives a transaction's connection to other sessions.
 	SharePinned bool
-	// MixAnswers hands some answers to the wrong session.
+	// MixAnswers sends some answers to the wrong session.
 	MixAnswers bool
 	// DropOnStop stops nodes without draining.
 	DropOnStop bool
@@ -63,7 +62,7 @@
 	AcceptOlder bool
 }
 
-// Zone is a place of nodes and servers.
+// Zone is a zone in which nodes and servers run.
 type Zone struct {
 	Name   string
 	Region string
@@ -72,35 +71,36 @@
 // World is one simulated run.
 type World struct {
 	virtualtime.Scheduler
-	settings Settings
-	random   *rand.Rand
-	network  *network
-	nodes    []*node
-	groups   []*databaseGroup
-	store    *objectStore
-	history  *history.History
-	operated uint64
-	// stopped is when callers stop; the rest of the run lets everything settle.
-	stopped time.Duration
-	tracer  *trace.GroupWriter
+	settings    Settings
+	random      *rand.Rand
+	network     *network
+	nodes       []*node
+	groups      []*databaseGroup
+	store       *objectStore
+	history     *history.History
+	changeCount uint64
+	// callersStopAt is the time at which callers stop. In the rest of the run the fleet
+	// settles.
+	callersStopAt time.Duration
+	tracer        *trace.GroupWriter
 }
 
-// settleTime is the time after the last fault in which everything is healed and
-// callers have stopped.
+// settleTime is how long a run continues after callers have stopped and all faults have been
+// removed.
 const settleTime = 6 * time.Second
 
-// Run simulates a fleet and returns its history.
+// Run simulates a fleet and returns its history and statistics.
 func Run(settings Settings) (*history.History, *Result) {
 	world := newWorld(settings)
 	world.start()
-	world.stopped = settings.Duration
+	world.callersStopAt = settings.Duration
 	world.RunUntil(settings.Duration)
 	world.heal()
 	world.RunUntil(settings.Duration + settleTime)
 	world.finish()
 	if world.tracer != nil {
 		if err := world.tracer.Close(); err != nil {
-			panic(err) // the caller's writer
+			panic(err) // the writer in settings.Trace failed
 		}
 	}
 	return world.history, world.result()
@@ -128,12 +128,12 @@
 		w.After(time.Duration(w.random.IntN(200))*time.Millisecond, current.startProcess)
 	}
 	for _, fault := range w.settings.Faults {
-		w.After(fault.At, func() { w.cause(fault) })
+		w.After(fault.At, func() { w.inject(fault) })
 	}
 	w.startClients()
 }
 
-// heal ends every fault, so that the winning logs can be read in the end.
+// heal removes every fault, so that the groups' final logs can be read at the end.
 func (w *World) heal() {
 	w.network.heal()
 	w.store.heal()
@@ -169,7 +169,7 @@
 	return nil
 }
 
-// Result holds the measures of a run.
+// Result holds statistics of a run.
 type Result struct {
 	Events     uint64
 	Operations int
