--- a/internal/lab/check/check.go
+++ b/internal/lab/check/check.go
@@ -1,7 +1,6 @@
-// Package check decides from a recorded history whether the nine promises of the
-// brief ("What must always hold") were kept. docs/PROMISES.md lists, for each,
-// the mechanism that keeps it and the tests that prove that this checker fails
-// when the mechanism is broken.
+// Package check decides from a recorded history of a run whether dewknot kept its promises.
+// docs/PROMISES.md lists, for each promise, the mechanism that keeps it and the tests which
+// show that this checker fails when the mechanism is broken.
 package check
 
 import (
@@ -13,21 +12,33 @@
 	"dewknot/internal/lab/history"
 )
 
-// Promise names one of the brief's promises.
+// Promise is the name of a promise.
 type Promise string
 
-// The promises, in the brief's order.
+// The promises.
 const (
-	ReadYourWrites       Promise = "read_your_writes"
-	NoReplacedPrimary    Promise = "no_replaced_primary"
-	TransactionsApart    Promise = "transactions_apart"
-	OwnCompleteAnswer    Promise = "own_complete_answer"
-	NotRunIsTrue         Promise = "not_run_is_true"
-	AtMostOnce           Promise = "at_most_once"
-	LeavingGetsNoWork    Promise = "leaving_gets_no_work"
-	StopCutsNothing      Promise = "stop_cuts_nothing"
+	// ReadYourWrites: a session's reads see its own acknowledged writes.
+	ReadYourWrites Promise = "read_your_writes"
+	// NoReplacedPrimary: reads see, and acknowledged writes are in, the group's final log
+	// and not only the log of a replaced primary.
+	NoReplacedPrimary Promise = "no_replaced_primary"
+	// TransactionsApart: a transaction commits whole and without statements of others.
+	TransactionsApart Promise = "transactions_apart"
+	// OwnCompleteAnswer: an answer belongs to its request and is complete.
+	OwnCompleteAnswer Promise = "own_complete_answer"
+	// NotRunIsTrue: a write that is reported as not run was not committed.
+	NotRunIsTrue Promise = "not_run_is_true"
+	// AtMostOnce: a write is committed at most once.
+	AtMostOnce Promise = "at_most_once"
+	// LeavingGetsNoWork: a server marked as leaving gets no new work.
+	LeavingGetsNoWork Promise = "leaving_gets_no_work"
+	// StopCutsNothing: a planned stop of a node cuts off no request.
+	StopCutsNothing Promise = "stop_cuts_nothing"
+	// PolicyInForceForward: policy versions take effect on every node in time and never
+	// revert.
 	PolicyInForceForward Promise = "policy_in_force_forward"
-	// Freshness is what policies promise for reads beyond a caller's own session.
+	// Freshness: reads are as fresh as their policy requires, also as to writes of other
+	// sessions.
 	Freshness Promise = "freshness"
 )
 
@@ -37,10 +48,12 @@
 	AtMostOnce, LeavingGetsNoWork, StopCutsNothing, PolicyInForceForward, Freshness,
 }
 
-// Limits by which the checker reads "a few seconds" and "within seconds".
+// Times within which changes must take effect.
 const (
+	// LeavingLimit is for marks of leaving servers.
 	LeavingLimit = 5 * time.Second
-	PolicyLimit  = 8 * time.Second
+	// PolicyLimit is for policy versions.
+	PolicyLimit = 8 * time.Second
 )
 
 // Violation is one breach of a promise.
@@ -49,11 +62,11 @@
 	Detail  string
 }
 
-// Report is the verdict on a history.
+// Report is the result of checking a history.
 type Report struct {
 	Violations []Violation
-	// Judged counts, by promise, how many records were judged: a promise with
-	// none is not proved by the history.
+	// Judged counts, by promise, the records that were checked. If there are none, the
+	// history shows nothing about the promise.
 	Judged map[Promise]int
 }
 
@@ -68,35 +81,37 @@
 	return count
 }
 
-// checker holds indexes over a history.
+// checker checks a history. It holds indexes of its records.
 type checker struct {
 	history *history.History
 	report  *Report
-	// commits holds the entries in which an operation appears, by operation.
+	// commits holds the log entries that contain an operation, by operation.
 	commits map[string][]history.Commit
-	final   map[string]map[position.Position]bool
-	// entryOf is the position of a write, by operation; the winning log's entry is preferred.
-	entryOf map[string]position.Position
-	// acknowledged holds successful writes by group and key, ordered by their end.
+	// final holds the positions of each group's final log.
+	final map[string]map[position.Position]bool
+	// writePosition is the position of a write, by operation. If it was committed more than
+	// once, an entry in the final log is preferred.
+	writePosition map[string]position.Position
+	// acknowledged holds acknowledged writes by group and key, ordered by their end.
 	acknowledged map[recordKey][]history.Operation
 }
 
 type recordKey struct{ group, key string }
 
-// History judges a history.
+// History checks a history.
 func History(recorded *history.History) *Report {
 	check := &checker{
-		history: recorded, report: &Report{Judged: map[Promise]int{}}, commits: map[string][]history.Commit{},
-		final: map[string]map[position.Position]bool{}, entryOf: map[string]position.Position{},
-		acknowledged: map[recordKey][]history.Operation{},
+		history: recorded, report: &Report{Judged: map[Promise]int{}},
+		commits: map[string][]history.Commit{}, final: map[string]map[position.Position]bool{},
+		writePosition: map[string]position.Position{}, acknowledged: map[recordKey][]history.Operation{},
 	}
-	check.index()
-	check.reads()
-	check.writes()
-	check.entries()
-	check.answers()
-	check.leaving()
-	check.policies()
+	check.buildIndexes()
+	check.checkReads()
+	check.checkWrites()
+	check.checkEntries()
+	check.checkAnswers()
+	check.checkLeaving()
+	check.checkPolicies()
 	return check.report
 }
 
@@ -106,7 +121,7 @@
 
 func (c *checker) judged(promise Promise) { c.report.Judged[promise]++ }
 
-func (c *checker) index() {
+func (c *checker) buildIndexes() {
 	for group, positions := range c.history.Final {
 		c.final[group] = map[position.Position]bool{}
 		for _, at := range positions {
@@ -121,8 +136,8 @@
 			}
 			seen[operation] = true
 			c.commits[operation] = append(c.commits[operation], commit)
-			if _, known := c.entryOf[operation]; !known || c.final[commit.Group][commit.Position] {
-				c.entryOf[operation] = commit.Position
+			if _, exists := c.writePosition[operation]; !exists || c.final[commit.Group][commit.Position] {
+				c.writePosition[operation] = commit.Position
 			}
 		}
 	}
@@ -139,33 +154,33 @@
 	}
 }
 
-// reads checks that each read saw at least what it had to: the session's own
-// acknowledged writes always, and by the policy those of others as well.
-func (c *checker) reads() {
+// checkReads checks that each read saw the acknowledged writes that it must see: those of its
+// own session and, depending on the policy, those of other sessions.
+func (c *checker) checkReads() {
 	for _, read := range c.history.Operations {
 		if read.Type != history.Read || read.Outcome != history.OK {
 			continue
 		}
-		value := c.entryOf[read.Value]
-		c.requireLasting(read)
+		value := c.writePosition[read.Value]
+		c.requireValueInFinalLog(read)
 		if read.Freshness != "any" && read.Freshness != "lag" {
 			c.judged(ReadYourWrites)
-			c.requireSeen(ReadYourWrites, read, value, read.Start, read.Session)
+			c.requireNotOlder(ReadYourWrites, read, value, read.Start, read.Session)
 		}
 		switch read.Freshness {
 		case "current":
 			c.judged(Freshness)
-			c.requireSeen(Freshness, read, value, read.Start, "")
+			c.requireNotOlder(Freshness, read, value, read.Start, "")
 		case "lag":
 			c.judged(Freshness)
-			c.requireSeen(Freshness, read, value, read.Start-read.MaxLag, "")
+			c.requireNotOlder(Freshness, read, value, read.Start-read.MaxLag, "")
 		}
 	}
 }
 
-// requireLasting requires that a read's value is in the log that won: what a
-// replaced primary alone held must not be shown.
-func (c *checker) requireLasting(read history.Operation) {
+// requireValueInFinalLog requires that the value of a read is in the group's final log. A
+// value that only a replaced primary had must not be returned.
+func (c *checker) requireValueInFinalLog(read history.Operation) {
 	if read.Value == "" {
 		return
 	}
@@ -175,12 +190,15 @@
 			return
 		}
 	}
-	c.violate(NoReplacedPrimary, "read %s by %s at %s through %s saw %s, which is not in the log of the group", read.ID, read.Session, read.Start, read.Node, read.Value)
+	c.violate(NoReplacedPrimary, "read %s by %s at %s through %s saw %s, which is not in the group's final log",
+		read.ID, read.Session, read.Start, read.Node, read.Value)
 }
 
-// requireSeen requires that a read's value is not older than any write of the
-// record acknowledged before a time, by one session or, if empty, by any.
-func (c *checker) requireSeen(promise Promise, read history.Operation, value position.Position, before time.Duration, session string) {
+// requireNotOlder requires that the value of a read is not older than any write of the record
+// that was acknowledged before a time, to one session or, if session is empty, to any.
+func (c *checker) requireNotOlder(
+	promise Promise, read history.Operation, value position.Position, before time.Duration, session string,
+) {
 	for _, write := range c.acknowledged[recordKey{read.Group, read.Keys[0]}] {
 		if write.End > before {
 			return
@@ -188,16 +206,17 @@
 		if session != "" && write.Session != session {
 			continue
 		}
-		if entry := c.entryOf[write.ID]; value.Less(entry) {
-			c.violate(promise, "read %s of %s by %s at %s through %s saw %s (%s) and not %s (%s), acknowledged at %s",
+		if entry := c.writePosition[write.ID]; value.Less(entry) {
+			c.violate(promise, "read %s of %s by %s at %s through %s saw %s (%s) instead of %s (%s), acknowledged at %s",
 				read.ID, read.Keys[0], read.Session, read.Start, read.Node, read.Value, value, write.ID, entry, write.End)
 			return
 		}
 	}
 }
 
-// writes checks acknowledgements, refusals and repetition.
-func (c *checker) writes() {
+// checkWrites checks that acknowledged writes are in the final log, that those reported as not
+// run were not committed, and that none was committed twice.
+func (c *checker) checkWrites() {
 	for _, operation := range c.history.Operations {
 		if operation.Type == history.Read {
 			continue
@@ -206,58 +225,66 @@
 		switch operation.Outcome {
 		case history.OK:
 			c.judged(NoReplacedPrimary)
-			c.requireKept(operation, commits)
+			c.requireWriteInFinalLog(operation, commits)
 		case history.NotRun:
 			c.judged(NotRunIsTrue)
 			if len(commits) > 0 {
-				c.violate(NotRunIsTrue, "%s by %s was reported as not run (%s) and stands at %s", operation.ID, operation.Session, operation.Failure, commits[0].Position)
+				c.violate(NotRunIsTrue, "%s by %s was reported as not run (%s), but was committed at %s",
+					operation.ID, operation.Session, operation.Failure, commits[0].Position)
 			}
 		}
 		c.judged(AtMostOnce)
 		if len(commits) > 1 {
-			c.violate(AtMostOnce, "%s ran %d times: %s, %s", operation.ID, len(commits), commits[0].Position, commits[1].Position)
+			c.violate(AtMostOnce, "%s was committed %d times: at %s, %s",
+				operation.ID, len(commits), commits[0].Position, commits[1].Position)
 		}
 	}
 }
 
-// requireKept requires an acknowledged write to be in the log that won, whole.
-func (c *checker) requireKept(operation history.Operation, commits []history.Commit) {
+// requireWriteInFinalLog requires an acknowledged write to be in the group's final log with
+// all its records.
+func (c *checker) requireWriteInFinalLog(operation history.Operation, commits []history.Commit) {
 	for _, commit := range commits {
 		if c.final[commit.Group][commit.Position] {
 			if len(commit.Keys) != len(operation.Keys) {
-				c.violate(TransactionsApart, "transaction %s wrote %d records in one entry, want %d", operation.ID, len(commit.Keys), len(operation.Keys))
+				c.violate(TransactionsApart, "transaction %s wrote %d records in one entry, want %d",
+					operation.ID, len(commit.Keys), len(operation.Keys))
 			}
 			return
 		}
 	}
-	c.violate(NoReplacedPrimary, "%s by %s was acknowledged at %s through %s and is not in the log of the group", operation.ID, operation.Session, operation.End, operation.Node)
+	c.violate(NoReplacedPrimary, "%s by %s was acknowledged at %s through %s, but is not in the group's final log",
+		operation.ID, operation.Session, operation.End, operation.Node)
 }
 
-// entries checks that each log entry holds the statements of one operation.
-func (c *checker) entries() {
+// checkEntries checks that each log entry contains statements of one operation only.
+func (c *checker) checkEntries() {
 	for _, commit := range c.history.Commits {
 		c.judged(TransactionsApart)
 		for _, operation := range commit.Operations[1:] {
 			if operation != commit.Operations[0] {
-				c.violate(TransactionsApart, "entry %s of %s holds statements of %s and %s", commit.Position, commit.Group, commit.Operations[0], operation)
+				c.violate(TransactionsApart, "entry %s of %s contains statements of %s and %s",
+					commit.Position, commit.Group, commit.Operations[0], operation)
 				break
 			}
 		}
 	}
 }
 
-func (c *checker) answers() {
+// checkAnswers checks that answers are complete and belong to their requests, and that no
+// planned stop cut off a request.
+func (c *checker) checkAnswers() {
 	for _, operation := range c.history.Operations {
 		c.judged(StopCutsNothing)
 		if operation.CutByStop {
-			c.violate(StopCutsNothing, "%s was cut by the planned stop of %s at %s", operation.ID, operation.Node, operation.End)
+			c.violate(StopCutsNothing, "%s was cut off by the planned stop of %s at %s", operation.ID, operation.Node, operation.End)
 		}
 		if operation.Outcome != history.OK {
 			continue
 		}
 		c.judged(OwnCompleteAnswer)
 		if operation.Answered != operation.ID || operation.Truncated {
-			c.violate(OwnCompleteAnswer, "%s got the answer of %q, truncated %t", operation.ID, operation.Answered, operation.Truncated)
+			c.violate(OwnCompleteAnswer, "%s got the answer of %q, truncated: %t", operation.ID, operation.Answered, operation.Truncated)
 		}
 	}
 }
@@ -267,39 +294,40 @@
 	server int
 }
 
-// leaving checks that no new work starts on a server a few seconds after it was
-// marked, for as long as the mark stands.
-func (c *checker) leaving() {
+// checkLeaving checks that no new work starts on a server from LeavingLimit after it was marked
+// as leaving until the mark is removed.
+func (c *checker) checkLeaving() {
 	marks := map[serverKey][]history.Mark{}
 	for _, mark := range c.history.Marks {
 		at := serverKey{mark.Group, mark.Server}
 		marks[at] = append(marks[at], mark)
 	}
 	for _, work := range c.history.Works {
-		history := marks[serverKey{work.Group, work.Server}]
-		for index, mark := range history {
-			stands := index+1 >= len(history) || work.At < history[index+1].At
-			if !mark.Leaving || work.At < mark.At || !stands {
+		serverMarks := marks[serverKey{work.Group, work.Server}]
+		for index, mark := range serverMarks {
+			inEffect := index+1 >= len(serverMarks) || work.At < serverMarks[index+1].At
+			if !mark.Leaving || work.At < mark.At || !inEffect {
 				continue
 			}
 			c.judged(LeavingGetsNoWork)
-			if work.At > c.heardBy(mark.At)+LeavingLimit {
-				c.violate(LeavingGetsNoWork, "server %d of %s began new work at %s; it was leaving since %s", work.Server, work.Group, work.At, mark.At)
+			if work.At > c.reachableFrom(mark.At)+LeavingLimit {
+				c.violate(LeavingGetsNoWork, "server %d of %s began new work at %s, but was marked as leaving at %s",
+					work.Server, work.Group, work.At, mark.At)
 			}
 		}
 	}
 }
 
-// heardBy returns from when a change accepted at a time could reach the whole
-// fleet: parts of it that are cut off hear of it when the cut has healed.
-func (c *checker) heardBy(at time.Duration) time.Duration {
-	heard := at
+// reachableFrom returns the time from which a change accepted at a time could reach the whole
+// fleet. Isolated parts receive it when their partition ends.
+func (c *checker) reachableFrom(at time.Duration) time.Duration {
+	from := at
 	for _, cut := range c.history.Cuts {
-		if cut.From <= heard+LeavingLimit && cut.To > heard {
-			heard = cut.To
+		if cut.From <= from+LeavingLimit && cut.To > from {
+			from = cut.To
 		}
 	}
-	return heard
+	return from
 }
 
 type runKey struct {
@@ -308,17 +336,18 @@
 	service string
 }
 
-// policies checks that versions only grow on every node, across restarts too,
-// and that an accepted version is in force within the limit wherever a node was
-// present for that long.
-func (c *checker) policies() {
+// checkPolicies checks that policy versions never decrease on a node, even across restarts,
+// that no version was replaced twice, and that an accepted version was in force within
+// PolicyLimit on every node that was present for that long.
+func (c *checker) checkPolicies() {
 	last := map[runKey]uint64{}
 	steps := map[runKey][]history.InForce{}
 	for _, step := range c.history.InForce {
 		at := runKey{step.Node, 0, step.Service}
 		c.judged(PolicyInForceForward)
 		if step.Version < last[at] {
-			c.violate(PolicyInForceForward, "%s went from version %d of %s back to %d at %s", step.Node, last[at], step.Service, step.Version, step.At)
+			c.violate(PolicyInForceForward, "%s reverted from version %d of %s to %d at %s",
+				step.Node, last[at], step.Service, step.Version, step.At)
 		}
 		last[at] = max(last[at], step.Version)
 		run := runKey{step.Node, step.Run, step.Service}
@@ -327,8 +356,9 @@
 	winners := map[runKey]uint64{}
 	for _, accepted := range c.history.Accepted {
 		replaced := runKey{service: accepted.Service, run: int(accepted.Replaces)}
-		if other, twice := winners[replaced]; twice && other != accepted.Version {
-			c.violate(PolicyInForceForward, "versions %d and %d of %s both replaced version %d", other, accepted.Version, accepted.Service, accepted.Replaces)
+		if other, exists := winners[replaced]; exists && other != accepted.Version {
+			c.violate(PolicyInForceForward, "versions %d and %d of %s both replaced version %d",
+				other, accepted.Version, accepted.Service, accepted.Replaces)
 		}
 		winners[replaced] = accepted.Version
 		for _, presence := range c.history.Presences {
@@ -348,5 +378,6 @@
 			return
 		}
 	}
-	c.violate(PolicyInForceForward, "version %d of %s, accepted at %s, was not in force on %s by %s", accepted.Version, accepted.Service, accepted.At, presence.Node, due)
+	c.violate(PolicyInForceForward, "version %d of %s, accepted at %s, was not in force on %s by %s",
+		accepted.Version, accepted.Service, accepted.At, presence.Node, due)
 }
--- a/internal/lab/check/linearizable.go
+++ b/internal/lab/check/linearizable.go
@@ -15,32 +15,32 @@
 	value string
 }
 
-// registerModel is a record that holds the identifier of its last write.
+// registerModel models a record that holds the ID of its last write.
 var registerModel = porcupine.Model{
 	Init: func() any { return "" },
 	Step: func(state, input, output any) (bool, any) {
-		asked := input.(registerInput)
-		if asked.write {
-			return true, asked.value
+		operation := input.(registerInput)
+		if operation.write {
+			return true, operation.value
 		}
 		return output.(string) == state.(string), state
 	},
 }
 
-// Linearizable reports whether the writes of a record and the reads of it that
-// promise current data can be put in one order that agrees with real time. A
-// write of unknown outcome may have taken effect at any later time, or never; one
-// that never did is left out by the log that won. ok is false if the search took
-// longer than the limit.
-func Linearizable(recorded *history.History, group, key string, limit time.Duration) (linearizable, ok bool) {
-	kept := map[string]bool{}
+// Linearizable reports whether the writes of a record and its reads with current freshness
+// are linearizable. A write of unknown outcome may take effect at any time after its start;
+// it is left out if it isn't in the group's final log. ok is false if the check timed out.
+func Linearizable(
+	recorded *history.History, group, key string, timeout time.Duration,
+) (linearizable, ok bool) {
+	inFinalLog := map[string]bool{}
 	final := map[string]bool{}
 	for _, at := range recorded.Final[group] {
 		final[at.String()] = true
 	}
 	for _, commit := range recorded.Commits {
 		for _, operation := range commit.Operations {
-			kept[operation] = kept[operation] || commit.Group == group && final[commit.Position.String()]
+			inFinalLog[operation] = inFinalLog[operation] || commit.Group == group && final[commit.Position.String()]
 		}
 	}
 	var operations []porcupine.Operation
@@ -48,12 +48,12 @@
 		if operation.Group != group || operation.Keys[0] != key {
 			continue
 		}
-		if converted, use := registerOperation(operation, kept[operation.ID]); use {
+		if converted, relevant := registerOperation(operation, inFinalLog[operation.ID]); relevant {
 			converted.ClientId = index
 			operations = append(operations, converted)
 		}
 	}
-	switch porcupine.CheckOperationsTimeout(registerModel, operations, limit) {
+	switch porcupine.CheckOperationsTimeout(registerModel, operations, timeout) {
 	case porcupine.Ok:
 		return true, true
 	case porcupine.Illegal:
@@ -63,7 +63,9 @@
 	}
 }
 
-func registerOperation(operation history.Operation, kept bool) (porcupine.Operation, bool) {
+// registerOperation converts an operation for the model. It returns false if the operation
+// doesn't take part in the check.
+func registerOperation(operation history.Operation, inFinalLog bool) (porcupine.Operation, bool) {
 	converted := porcupine.Operation{Call: int64(operation.Start), Return: int64(operation.End)}
 	switch {
 	case operation.Type == history.Read:
@@ -75,6 +77,6 @@
 	default:
 		converted.Input, converted.Output = registerInput{true, operation.ID}, ""
 		converted.Return = math.MaxInt64
-		return converted, operation.Outcome == history.Unknown && kept
+		return converted, operation.Outcome == history.Unknown && inFinalLog
 	}
 }
