--- a/internal/lab/history/history.go
+++ b/internal/lab/history/history.go
@@ -1,6 +1,8 @@
-// Package history records what callers, servers and nodes did in a run, so that
-// checkers can decide afterwards whether the promises of the brief held. The
-// simulator and the load tool write the same records.
+// Package history defines the records of what callers, servers and nodes did in a run.
+// Package check decides from them whether all promises were kept. The simulator and the load
+// tool write the same records.
+//
+// Times are durations since the start of the run.
 package history
 
 import (
@@ -15,20 +17,21 @@
 	"dewknot/internal/base/position"
 )
 
-// Outcome is what a caller was told.
+// Outcome is the outcome of an operation as reported to its caller.
 type Outcome string
 
 // The outcomes.
 const (
-	// OK: the answer arrived and reports success.
+	// OK: the caller received an answer that reports success.
 	OK Outcome = "ok"
-	// NotRun: the caller was told that the request was not run.
+	// NotRun: the caller received an error which states that the request was not run.
 	NotRun Outcome = "not_run"
-	// Unknown: the caller was told, or must assume, that it may have run.
+	// Unknown: the request may have run. The caller received an error that says so, or no
+	// answer.
 	Unknown Outcome = "unknown"
 )
 
-// Type is the form of an operation.
+// Type is the type of an operation.
 type Type string
 
 // The types.
@@ -51,29 +54,29 @@
 	Start time.Duration `json:"start"`
 	End   time.Duration `json:"end"`
 	Node  string        `json:"node"`
-	// Freshness is what the policy promises for a read.
+	// Freshness is the freshness that the policy requires of a read.
 	Freshness string        `json:"freshness,omitempty"`
 	MaxLag    time.Duration `json:"max_lag,omitempty"`
 	Outcome   Outcome       `json:"outcome"`
 	Failure   string        `json:"failure,omitempty"`
-	// Value is the identifier of the write whose value a read returned.
+	// Value is the ID of the write whose value a read returned.
 	Value string `json:"value,omitempty"`
-	// Answered is the identifier that the answer itself carries.
+	// Answered is the operation ID in the answer, which must equal ID.
 	Answered string `json:"answered,omitempty"`
-	// Truncated is set when part of the answer was missing.
+	// Truncated is set if part of the answer was missing.
 	Truncated   bool `json:"truncated,omitempty"`
 	FromReplica bool `json:"from_replica,omitempty"`
-	// CutByStop is set when a planned stop ended the connection under the request.
+	// CutByStop is set if a planned stop closed the connection during the request.
 	CutByStop bool `json:"cut_by_stop,omitempty"`
 }
 
-// Commit is an entry that a server appended to its log.
+// Commit is an entry that a server has appended to its log.
 type Commit struct {
 	Group    string            `json:"group"`
 	Server   int               `json:"server"`
 	At       time.Duration     `json:"at"`
 	Position position.Position `json:"position"`
-	// Operations names the operation of each statement in the entry.
+	// Operations holds the operation ID of each statement in the entry.
 	Operations []string `json:"operations"`
 	Keys       []string `json:"keys"`
 }
@@ -86,7 +89,7 @@
 	At     time.Duration `json:"at"`
 }
 
-// Mark is an operator's mark on a server as accepted by the store.
+// Mark is an operator's change of a server's leaving mark, as accepted by the store.
 type Mark struct {
 	Group   string        `json:"group"`
 	Server  int           `json:"server"`
@@ -94,26 +97,26 @@
 	Leaving bool          `json:"leaving"`
 }
 
-// Accepted is a policy version that an operator was told to be accepted.
+// Accepted is a policy version whose acceptance was confirmed to an operator.
 type Accepted struct {
 	Service string `json:"service"`
 	Version uint64 `json:"version"`
-	// Replaces is the version that the operator had seen.
+	// Replaces is the version that the operator's change was based on.
 	Replaces uint64        `json:"replaces"`
 	At       time.Duration `json:"at"`
 }
 
-// InForce is the moment from which a node serves by a policy version.
+// InForce is the time from which a node uses a policy version.
 type InForce struct {
 	Node string `json:"node"`
-	// Run tells apart the runs of a node that was restarted.
+	// Run is the number of the node's run; each restart begins another.
 	Run     int           `json:"run"`
 	Service string        `json:"service"`
 	Version uint64        `json:"version"`
 	At      time.Duration `json:"at"`
 }
 
-// Presence is a span in which a node ran and could be reached.
+// Presence is a period in which a node ran and was reachable.
 type Presence struct {
 	Node string        `json:"node"`
 	Run  int           `json:"run"`
@@ -121,17 +124,17 @@
 	To   time.Duration `json:"to"`
 }
 
-// Cut is a span in which parts of the fleet could not reach each other.
+// Cut is a period in which parts of the fleet could not reach each other.
 type Cut struct {
 	From time.Duration `json:"from"`
 	To   time.Duration `json:"to"`
 }
 
-// History is all records of a run.
+// History holds all records of a run.
 type History struct {
 	Operations []Operation `json:"operations"`
 	Commits    []Commit    `json:"commits"`
-	// Final holds, by group, the positions of the log that won in the end.
+	// Final holds, by group, the positions of the primary's log at the end of the run.
 	Final     map[string][]position.Position `json:"final"`
 	Works     []Work                         `json:"works"`
 	Marks     []Mark                         `json:"marks"`
@@ -159,7 +162,7 @@
 	decoder := json.NewDecoder(in)
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(loaded); err != nil {
-		return nil, errors.Wrap(err, "history file; use one written by dewknot sim or dewknot load")
+		return nil, errors.Wrap(err, "decode history; use a file written by dewknot sim or dewknot load")
 	}
 	return loaded, nil
 }
