--- a/internal/lab/judge/caller.go
+++ b/internal/lab/judge/caller.go
@@ -12,9 +12,10 @@
 	"dewknot/internal/proxy/upstream"
 )
 
-// Answer is what a caller was told.
+// Answer is the answer to a caller's command.
 type Answer struct {
-	// Failed is set for a failure, NotRun if it promises that nothing is kept.
+	// Failed is set if the command failed, NotRun if the failure states that it had no
+	// effect.
 	Failed bool
 	NotRun bool
 
@@ -25,8 +26,8 @@
 
 // Session is an open session of a caller with the fleet.
 type Session interface {
-	// Ask sends a command and returns the answer; false means that the session has
-	// ended without one.
+	// Ask sends a command and returns its answer. It returns false if the session ended
+	// without an answer.
 	Ask(asked command.Command) (Answer, bool)
 	Close()
 }
@@ -34,64 +35,65 @@
 // CallerConfig configures a Caller.
 type CallerConfig struct {
 	Name string
-	// Tenant is the one that the caller works for; empty where callers need no key.
+	// Tenant is the caller's tenant; empty if callers need no key.
 	Tenant string
 	Seed   *rand.Rand
 	Judge  *Judge
-	// Stays makes the caller keep each session until it ends by itself.
+	// Stays makes the caller keep each session until a failure ends it.
 	Stays bool
-	// Connect opens a session on some node and tells its route; nil if it was
-	// refused.
+	// Connect opens a session on some node and returns it with its route. The session is nil
+	// if it was rejected.
 	Connect func(r *rand.Rand) (Session, *catalog.Route)
 }
 
-// Caller drives sessions with random operations and tells the judge what it was
-// told. It is used by one goroutine.
+// Caller runs sessions with random operations and reports the answers to a Judge. It is not
+// safe for concurrent use.
 type Caller struct {
 	CallerConfig
-	// Served, Refused and Unknown count final answers.
+	// Served, Refused and Unknown count operations by their outcome. Refused ones had no
+	// effect.
 	Served  int
 	Refused int
 	Unknown int
 
-	session int
-	request int
+	session int // number of sessions opened
+	request int // number of requests made
 	values  map[string]string
 }
 
-// NewCaller returns a caller that has not called yet.
+// NewCaller returns a caller; Run starts it.
 func NewCaller(cfg CallerConfig) *Caller { return &Caller{CallerConfig: cfg} }
 
-// connectPause is the pause after a session was refused.
-const connectPause = 50 * time.Millisecond
+// reconnectDelay is the pause after a rejected session.
+const reconnectDelay = 50 * time.Millisecond
 
-// Run drives sessions until a time.
+// Run runs sessions until a time.
 func (c *Caller) Run(until time.Time) {
 	for time.Now().Before(until) {
 		session, route := c.Connect(c.Seed)
 		if session == nil {
-			time.Sleep(connectPause)
+			time.Sleep(reconnectDelay)
 			continue
 		}
 		c.session++
 		c.values = map[string]string{}
-		c.operate(session, route, until)
+		c.runSession(session, route, until)
 		session.Close()
 	}
 }
 
-// Bounds of what a caller does.
+// Bounds of the random choices of a caller.
 const (
 	maxOperations = 30
 	maxStatements = 5
-	// restMillis and statementRestMillis bound the rest between operations, and
-	// between statements of a transaction.
-	restMillis          = 120
-	statementRestMillis = 40
-	things              = 20
+	// maxPauseMillis bounds the pause between operations, maxStatementPauseMillis that between
+	// statements of a transaction.
+	maxPauseMillis          = 120
+	maxStatementPauseMillis = 40
+	maxKeys                 = 20
 )
 
-func (c *Caller) operate(session Session, route *catalog.Route, until time.Time) {
+func (c *Caller) runSession(session Session, route *catalog.Route, until time.Time) {
 	for operations := c.Seed.IntN(maxOperations) + 1; operations > 0 || c.Stays; operations-- {
 		if !time.Now().Before(until) {
 			return
@@ -103,18 +105,18 @@
 		case 1, 2, 3:
 			healthy = c.transaction(session, route)
 		case 4, 5:
-			healthy = c.single(session, route, true)
+			healthy = c.singleStatement(session, route, true)
 		default:
-			healthy = c.single(session, route, false)
+			healthy = c.singleStatement(session, route, false)
 		}
 		if !healthy {
 			return
 		}
-		c.rest(restMillis)
+		c.pause(maxPauseMillis)
 	}
 }
 
-func (c *Caller) rest(millis int) {
+func (c *Caller) pause(millis int) {
 	time.Sleep(time.Duration(c.Seed.IntN(millis)) * time.Millisecond)
 }
 
@@ -125,65 +127,70 @@
 
 func (c *Caller) sessionName() string { return fmt.Sprintf("%s.%d", c.Name, c.session) }
 
-func (c *Caller) begin(id string, route *catalog.Route, began time.Time) {
-	c.Judge.Begin(Asked{ID: id, Session: c.sessionName(), Tenant: c.Tenant, Route: route, Began: began})
+func (c *Caller) recordRequest(id string, route *catalog.Route, began time.Time) {
+	c.Judge.RecordRequest(Request{ID: id, Session: c.sessionName(), Tenant: c.Tenant, Route: route, Began: began})
 }
 
 func (c *Caller) setValue(session Session) bool {
 	name, value := fmt.Sprintf("v%d", c.Seed.IntN(3)), fmt.Sprint(c.Seed.IntN(5))
-	answer, open := session.Ask(command.Command{Kind: command.SetValue, RequestID: c.nextID(), Name: name, Value: value})
+	answer, open := session.Ask(command.Command{
+		Kind: command.SetValue, RequestID: c.nextID(), Name: name, Value: value,
+	})
 	if open && !answer.Failed {
 		c.values[name] = value
 	}
 	return open
 }
 
-// statement returns a read or write of some thing.
+// statement returns a read or write of a random key.
 func (c *Caller) statement(id string, writes bool) command.Command {
-	thing := fmt.Sprintf("t%d", c.Seed.IntN(things))
+	key := fmt.Sprintf("t%d", c.Seed.IntN(maxKeys))
 	if writes {
-		return command.Command{Kind: command.Write, RequestID: id, Text: "WRITE " + thing + " " + id}
+		return command.Command{Kind: command.Write, RequestID: id, Text: "WRITE " + key + " " + id}
 	}
-	return command.Command{Kind: command.Read, RequestID: id, Text: "READ " + thing}
+	return command.Command{Kind: command.Read, RequestID: id, Text: "READ " + key}
 }
 
-func (c *Caller) single(session Session, route *catalog.Route, writes bool) bool {
+func (c *Caller) singleStatement(session Session, route *catalog.Route, writes bool) bool {
 	id := c.nextID()
-	c.begin(id, route, time.Now())
+	c.recordRequest(id, route, time.Now())
 	answer, open := session.Ask(c.statement(id, writes))
 	if !open {
 		return false
 	}
-	c.judge(&answer, []string{id}, writes)
+	c.recordAnswer(&answer, []string{id}, writes)
 	if !answer.Failed && !writes {
 		c.checkRows(id, &answer)
 	}
 	return answer.State == upstream.Idle
 }
 
-// judge tells the judge what a final answer promised.
-func (c *Caller) judge(answer *Answer, ids []string, wrote bool) {
+// recordAnswer counts the final answer to an operation and reports to the judge what it states
+// about the operation's writes.
+func (c *Caller) recordAnswer(answer *Answer, ids []string, wrote bool) {
 	switch {
 	case !answer.Failed:
 		c.Served++
 		if wrote {
-			c.Judge.Acknowledged(ids)
+			c.Judge.RecordAcknowledged(ids)
 		}
 	case answer.NotRun:
 		c.Refused++
-		c.Judge.Promised(ids)
+		c.Judge.RecordNotRun(ids)
 	default:
 		c.Unknown++
 	}
 }
 
+// checkRows checks that an answer belongs to the read and that the read ran with the session's
+// values.
 func (c *Caller) checkRows(id string, answer *Answer) {
 	if len(answer.Rows) != 2 || answer.Signature != id {
-		c.Judge.Violate("the answer to %s is signed for %s with %d rows", id, answer.Signature, len(answer.Rows))
+		c.Judge.RecordViolation("the answer to %s has signature %s and %d rows", id, answer.Signature, len(answer.Rows))
 		return
 	}
 	if expected := valuesText(c.values); string(answer.Rows[1]) != expected {
-		c.Judge.Violate("read %s ran with values %q, the session has %q", id, answer.Rows[1], expected)
+		c.Judge.RecordViolation("read %s ran with values %q, the session has %q", id, answer.Rows[1], expected)
 	}
 }
 
@@ -200,7 +207,7 @@
 	return text.String()
 }
 
-// transaction runs a whole transaction.
+// transaction runs a random transaction. It returns false if the session has ended.
 func (c *Caller) transaction(session Session, route *catalog.Route) bool {
 	began := time.Now()
 	kind, text := command.Begin, "BEGIN"
@@ -213,7 +220,7 @@
 	var writes []string
 	for range c.Seed.IntN(maxStatements) {
 		id := c.nextID()
-		c.begin(id, route, began)
+		c.recordRequest(id, route, began)
 		writing := kind == command.Begin && c.Seed.IntN(2) == 0
 		if writing {
 			writes = append(writes, id)
@@ -223,17 +230,17 @@
 			return false
 		}
 		if answer.Failed {
-			c.judge(&answer, writes, true)
+			c.recordAnswer(&answer, writes, true)
 			return c.rollBack(session)
 		}
-		c.rest(statementRestMillis)
+		c.pause(maxStatementPauseMillis)
 	}
 	if c.Seed.IntN(5) == 0 {
 		return c.rollBack(session)
 	}
 	answer, open := session.Ask(command.Command{Kind: command.Commit, RequestID: c.nextID(), Text: "COMMIT"})
 	if open {
-		c.judge(&answer, writes, len(writes) > 0)
+		c.recordAnswer(&answer, writes, len(writes) > 0)
 	}
 	return open
 }
--- a/internal/lab/judge/judge.go
+++ b/internal/lab/judge/judge.go
@@ -1,5 +1,5 @@
-// Package judge drives callers against a fleet and judges what they are told by
-// what the servers of the stand-in ran. Simulation and soak share it.
+// Package judge runs callers against a fleet and checks the answers that they receive against
+// what the servers of package managed ran. The simulation and the soak test use it.
 package judge
 
 import (
@@ -12,83 +12,90 @@
 	"dewknot/internal/proxy/catalog"
 )
 
-// Judge compares what callers are told with what servers ran. It implements
-// managed.Observer and is safe for concurrent use.
+// Judge checks callers' answers against what servers ran. It implements managed.Observer and
+// is safe for concurrent use.
 type Judge struct {
 	mu sync.Mutex
-	// requests holds what is known of each request by its id.
-	requests map[string]*request
-	// operations holds what ran of each tenant, in the order in which it ran.
+	// requests holds the state of each request by its ID.
+	requests map[string]*requestState
+	// operations holds the operations of each tenant in the order in which they ran.
 	operations map[string][]operation
 	// commits holds every commit by its position.
 	commits map[position.Position]*Commit
-	// Violations are the broken promises; read them when all callers are done.
+	// Violations describes the broken promises. It may be read once all callers are done.
 	Violations []string
-	// Reads and Writes count what servers ran.
+	// Reads counts the reads that servers ran, Writes the writes that they committed.
 	Reads  int
 	Writes int
-	// OnLost, if set, is told of commits that a promotion removed.
+	// OnLost, if set, is called for each commit that a promotion removed.
 	OnLost func(position.Position, *Commit)
 }
 
-type request struct {
+type requestState struct {
 	session string
-	// tenant is in whose name the request has to run; empty if any will do.
+	// tenant is the tenant in whose name the request must run; empty if it doesn't matter.
 	tenant    string
 	freshness catalog.Freshness
 	staleness time.Duration
 	began     time.Time
 	committed int
-	// ran is set once a server ran the request, a read.
+	// ran is set once a server has run the request, if it is a read.
 	ran bool
-	// aside is set once a replaced primary, which went on, committed the request.
-	aside bool
-	// promised is set once the caller was told that nothing is kept.
-	promised bool
+	// committedByReplaced is set once a replaced primary that still runs has committed the
+	// request.
+	committedByReplaced bool
+	// reportedNotRun is set once the caller has received an answer which states that the
+	// request had no effect.
+	reportedNotRun bool
 }
 
-// Commit is a commit that a server made.
+// Commit is a commit of a server.
 type Commit struct {
 	requests []string
 	session  string
-	// Acknowledged is when its caller was told of success; zero if it was not.
+	// Acknowledged is when the caller received the acknowledgement; zero before.
 	Acknowledged time.Time
 	lost         bool
 }
 
-// New returns a judge that has seen nothing.
+// New returns an empty Judge.
 func New() *Judge {
-	return &Judge{requests: map[string]*request{}, operations: map[string][]operation{}, commits: map[position.Position]*Commit{}}
+	return &Judge{
+		requests: map[string]*requestState{}, operations: map[string][]operation{},
+		commits: map[position.Position]*Commit{},
+	}
 }
 
-// Violate notes a broken promise.
-func (j *Judge) Violate(format string, values ...any) {
+// RecordViolation records a broken promise.
+func (j *Judge) RecordViolation(format string, values ...any) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.violate(format, values...)
+	j.recordViolation(format, values...)
 }
 
-func (j *Judge) violate(format string, values ...any) {
+func (j *Judge) recordViolation(format string, values ...any) {
 	j.Violations = append(j.Violations, fmt.Sprintf(format, values...))
 }
 
-// Asked is a request that a caller is about to send. Statements of a transaction are
-// judged from the transaction's beginning.
-type Asked struct {
+// Request is a request that a caller is about to send.
+type Request struct {
 	ID      string
 	Session string
-	// Tenant is the one that the caller works for; empty where callers need no key.
+	// Tenant is the caller's tenant; empty if callers need no key.
 	Tenant string
 	Route  *catalog.Route
-	Began  time.Time
+	// Began is when the request began; for a statement of a transaction, when the transaction
+	// began.
+	Began time.Time
 }
 
-// Begin notes a request.
-func (j *Judge) Begin(asked Asked) {
+// RecordRequest records a request before it is sent.
+func (j *Judge) RecordRequest(sent Request) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.requests[asked.ID] = &request{
-		session: asked.Session, tenant: asked.Tenant, freshness: asked.Route.Freshness, staleness: asked.Route.MaxStaleness, began: asked.Began,
+	j.requests[sent.ID] = &requestState{
+		session: sent.Session, tenant: sent.Tenant,
+		freshness: sent.Route.Freshness, staleness: sent.Route.MaxStaleness, began: sent.Began,
 	}
 }
 
@@ -101,26 +108,27 @@
 		return
 	}
 	if string(run.Principal) != request.tenant {
-		j.violate("request %s of tenant %q ran in the name of %q", run.RequestID, request.tenant, run.Principal)
+		j.recordViolation("request %s of tenant %q ran as principal %q", run.RequestID, request.tenant, run.Principal)
 	}
 	if run.First {
 		j.operations[request.tenant] = append(j.operations[request.tenant], operation{began: request.began, ran: run.At})
 	}
 }
 
-// Acknowledged notes that a caller was told of success for the writes of some requests.
-func (j *Judge) Acknowledged(ids []string) {
+// RecordAcknowledged records that the writes of some requests were acknowledged to their
+// caller.
+func (j *Judge) RecordAcknowledged(ids []string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	now := time.Now()
 	for _, id := range ids {
 		request := j.requests[id]
-		if request.aside {
-			j.violate("request %s was acknowledged, but a replaced primary committed it", id)
+		if request.committedByReplaced {
+			j.recordViolation("request %s was acknowledged, but a replaced primary committed it", id)
 			continue
 		}
 		if request.committed == 0 {
-			j.violate("request %s was acknowledged, but no server committed it", id)
+			j.recordViolation("request %s was acknowledged, but no server committed it", id)
 		}
 		for _, commit := range j.commits {
 			for _, writer := range commit.requests {
@@ -133,7 +141,7 @@
 	}
 }
 
-// WritesAcknowledged counts the commits that were acknowledged.
+// WritesAcknowledged returns the number of acknowledged commits.
 func (j *Judge) WritesAcknowledged() int {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -146,47 +154,49 @@
 	return count
 }
 
-// Promised notes that a caller was told that nothing of some requests is kept.
-func (j *Judge) Promised(ids []string) {
+// RecordNotRun records that a caller has received an answer which states that some requests had
+// no effect.
+func (j *Judge) RecordNotRun(ids []string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	for _, id := range ids {
-		j.requests[id].promised = true
+		j.requests[id].reportedNotRun = true
 		if j.requests[id].ran {
-			j.violate("read %s ran, but its caller was told that it did not", id)
+			j.recordViolation("read %s ran, but was reported as not run", id)
 		}
-		if j.requests[id].committed > 0 || j.requests[id].aside {
-			j.violate("request %s was committed, but its caller was told that nothing is kept", id)
+		if j.requests[id].committed > 0 || j.requests[id].committedByReplaced {
+			j.recordViolation("request %s was committed, but was reported as not run", id)
 		}
 	}
 }
 
 // ReadRan implements managed.Observer.
-func (j *Judge) ReadRan(id string, at time.Time, has func(position.Position) bool) {
+func (j *Judge) ReadRan(id string, at time.Time, contains func(position.Position) bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.Reads++
 	request := j.requests[id]
 	if request == nil {
-		j.violate("a server ran read %q that no caller sent", id)
+		j.recordViolation("a server ran read %q that no caller sent", id)
 		return
 	}
 	request.ran = true
-	if request.promised {
-		j.violate("read %s ran after its caller was told that it did not", id)
+	if request.reportedNotRun {
+		j.recordViolation("read %s ran after it was reported as not run", id)
 	}
-	for place, commit := range j.commits {
-		if commit.lost || commit.Acknowledged.IsZero() || has(place) {
+	for committedAt, commit := range j.commits {
+		if commit.lost || commit.Acknowledged.IsZero() || contains(committedAt) {
 			continue
 		}
-		span := request.staleness
+		maxStaleness := request.staleness
 		if request.freshness == catalog.Current {
-			span = 0
+			maxStaleness = 0
 		}
-		own := request.freshness == catalog.ReadYourWrites && commit.session == request.session && commit.Acknowledged.Before(request.began)
-		if own || commit.Acknowledged.Before(request.began.Add(-span)) {
-			j.violate("read %s (freshness %d) at %v misses commit %v acknowledged %v before it began", id, request.freshness,
-				at.Format("05.000"), place, request.began.Sub(commit.Acknowledged))
+		ownWrite := request.freshness == catalog.ReadYourWrites && commit.session == request.session &&
+			commit.Acknowledged.Before(request.began)
+		if ownWrite || commit.Acknowledged.Before(request.began.Add(-maxStaleness)) {
+			j.recordViolation("read %s (freshness %d) at %v misses commit %v acknowledged %v before it began",
+				id, request.freshness, at.Format("05.000"), committedAt, request.began.Sub(commit.Acknowledged))
 		}
 	}
 }
@@ -199,15 +209,15 @@
 	for _, id := range ids {
 		request := j.requests[id]
 		if request == nil {
-			j.violate("a server committed write %q that no caller sent", id)
+			j.recordViolation("a server committed write %q that no caller sent", id)
 			continue
 		}
 		request.committed++
 		if request.committed > 1 {
-			j.violate("request %s took effect %d times", id, request.committed)
+			j.recordViolation("request %s was committed %d times", id, request.committed)
 		}
-		if request.promised {
-			j.violate("request %s was committed after its caller was told that nothing is kept", id)
+		if request.reportedNotRun {
+			j.recordViolation("request %s was committed after it was reported as not run", id)
 		}
 	}
 	j.commits[at] = &Commit{requests: ids}
@@ -220,12 +230,12 @@
 	for _, id := range ids {
 		request := j.requests[id]
 		if request == nil {
-			j.violate("a replaced primary committed write %q that no caller sent", id)
+			j.recordViolation("a replaced primary committed write %q that no caller sent", id)
 			continue
 		}
-		request.aside = true
-		if request.promised {
-			j.violate("request %s was committed by a replaced primary after its caller was told that nothing is kept", id)
+		request.committedByReplaced = true
+		if request.reportedNotRun {
+			j.recordViolation("request %s was committed by a replaced primary after it was reported as not run", id)
 		}
 	}
 }
@@ -242,7 +252,7 @@
 	}
 }
 
-// AcknowledgedLost counts acknowledged commits that a promotion removed.
+// AcknowledgedLost returns the number of acknowledged commits that a promotion removed.
 func (j *Judge) AcknowledgedLost() int {
 	j.mu.Lock()
 	defer j.mu.Unlock()
--- a/internal/lab/judge/quota.go
+++ b/internal/lab/judge/quota.go
@@ -4,15 +4,15 @@
 	"time"
 )
 
-// operation is a single statement or the beginning of a transaction that ran.
+// operation is a single statement or the first statement of a transaction.
 type operation struct {
-	// began is when its caller sent it, ran when a server ran it.
+	// began is when the caller began the operation, ran when a server ran it.
 	began time.Time
 	ran   time.Time
 }
 
-// Allowance is how many operations of a tenant may run in each span of a length, from a
-// time on.
+// Allowance limits a tenant's operations to Most in every window of length Span that starts at
+// From or later.
 type Allowance struct {
 	Tenant string
 	Span   time.Duration
@@ -20,33 +20,34 @@
 	From   time.Time
 }
 
-// CheckQuota notes a violation if more operations were both sent and run within some span
-// than an allowance permits, and returns the most that were.
+// CheckQuota records a violation if more operations than allowed began and ran within one
+// window. It returns the maximum number of operations in a window.
 func (j *Judge) CheckQuota(allowance Allowance) int {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	operations := j.operations[allowance.Tenant]
-	most := 0
+	highest := 0
 	for first := range operations {
-		opens := operations[first].began
-		if opens.Before(allowance.From) {
+		start := operations[first].began
+		if start.Before(allowance.From) {
 			continue
 		}
 		count := 0
 		for i := range operations {
-			if !operations[i].began.Before(opens) && operations[i].ran.Sub(opens) < allowance.Span {
+			if !operations[i].began.Before(start) && operations[i].ran.Sub(start) < allowance.Span {
 				count++
 			}
 		}
-		most = max(most, count)
+		highest = max(highest, count)
 	}
-	if most > allowance.Most {
-		j.violate("%d operations of tenant %q ran within %v; %d are allowed", most, allowance.Tenant, allowance.Span, allowance.Most)
+	if highest > allowance.Most {
+		j.recordViolation("%d operations of tenant %q ran within %v; %d are allowed",
+			highest, allowance.Tenant, allowance.Span, allowance.Most)
 	}
-	return most
+	return highest
 }
 
-// Operations returns how many operations of a tenant ran.
+// Operations returns the number of a tenant's operations that ran.
 func (j *Judge) Operations(tenant string) int {
 	j.mu.Lock()
 	defer j.mu.Unlock()
