--- a/internal/lab/trace/trace_test.go
+++ b/internal/lab/trace/trace_test.go
@@ -12,9 +12,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// Recorded traces replay to the recorded effects, and to the outcomes stated
-// beside them.
-func TestRecordedTraces(t *testing.T) {
+// Guards against changed decisions of the group's machine: recorded traces must replay to the
+// same effects and to the outcomes in the .outcomes files.
+func TestRecordedGroupTracesReplay(t *testing.T) {
 	paths, err := filepath.Glob("testdata/*.trace")
 	must.NoError(t, err)
 	must.SliceNotEmpty(t, paths)
@@ -24,13 +24,13 @@
 		result, err := Replay(bytes.NewReader(recorded))
 		must.NoError(t, err)
 		must.Eq(t, "", result.Difference, must.Sprint(path))
-		stated, err := os.ReadFile(strings.TrimSuffix(path, ".trace") + ".outcomes")
+		expected, err := os.ReadFile(strings.TrimSuffix(path, ".trace") + ".outcomes")
 		must.NoError(t, err)
 		counts := map[string]int{}
 		for _, outcome := range result.Outcomes {
 			counts[outcome.Kind.String()]++
 		}
-		for _, line := range strings.Split(strings.TrimSpace(string(stated)), "\n") {
+		for _, line := range strings.Split(strings.TrimSpace(string(expected)), "\n") {
 			kind, count, _ := strings.Cut(line, " ")
 			must.Eq(t, count, strconv.Itoa(counts[kind]), must.Sprint(path, kind))
 			delete(counts, kind)
@@ -39,7 +39,8 @@
 	}
 }
 
-// A changed effect is found.
+// A replay must report an effect that differs from the recorded one and reject an unknown
+// version.
 func TestChangedTraceDiffers(t *testing.T) {
 	recorded, err := os.ReadFile("testdata/cut_primary.trace")
 	must.NoError(t, err)
@@ -51,10 +52,10 @@
 	must.Error(t, err)
 }
 
-// Recorded failover machines of simulated fleets give the stated orders again: a
-// deputy's while the store was down, its successor's, and a holder's before synchronous
-// replicas.
-func TestRecordedFailovers(t *testing.T) {
+// Guards against changed decisions of the failover machine. The traces are of simulated fleets:
+// a deputy's while the store was down, its successor's, and that of a lease holder with
+// synchronous replicas.
+func TestRecordedFailoverTracesReplay(t *testing.T) {
 	paths, err := filepath.Glob("testdata/failover/*.trace")
 	must.NoError(t, err)
 	must.Len(t, 3, paths)
@@ -68,14 +69,14 @@
 		for _, order := range result.Orders {
 			_, _ = fmt.Fprintf(&orders, "order %s token %d\n", order.Target, order.Token)
 		}
-		stated, err := os.ReadFile(strings.TrimSuffix(path, ".trace") + ".outcomes")
+		expected, err := os.ReadFile(strings.TrimSuffix(path, ".trace") + ".outcomes")
 		must.NoError(t, err)
-		must.Eq(t, string(stated), orders.String(), must.Sprint(path))
+		must.Eq(t, string(expected), orders.String(), must.Sprint(path))
 	}
 }
 
-// A trace of a machine that is not known is refused.
-func TestUnknownMachineIsRefused(t *testing.T) {
+// A trace of an unknown kind of machine must be rejected.
+func TestUnknownMachineIsRejected(t *testing.T) {
 	_, err := Replay(strings.NewReader("{\"version\":1,\"machine\":\"other\",\"settings\":{}}\n"))
 	must.ErrorContains(t, err, "use the program that recorded it")
 }
