--- a/internal/lab/explain/explain.go
+++ b/internal/lab/explain/explain.go
@@ -1,10 +1,10 @@
-// Package explain tells the story of a request, a server or a failover from the
-// event logs of many nodes (package eventlog).
+// Package explain selects from the event logs of many nodes (package eventlog) the lines that
+// explain what happened to a request, a server, a tenant or the primary of a service.
 //
-// It reads plain JSON lines, and lines with a prefix before the JSON, such as a
-// collector's time and node. Clocks of nodes differ and jump: lines of one node
-// keep the order in which they were written, and a clock that goes back does not
-// take its later lines back.
+// Logs consist of JSON lines, optionally with a prefix before the JSON, such as a log
+// collector's time and node. Nodes' clocks differ and may jump. The lines of one node keep the
+// order in which they were written: a line with a time before that of its predecessor gets the
+// predecessor's time.
 package explain
 
 import (
@@ -23,18 +23,19 @@
 	"dewknot/internal/base/eventlog"
 )
 
-// Line is one line of a log.
+// Line is a line of a log.
 type Line struct {
 	Time   time.Time
 	Node   string
 	Event  eventlog.Event
 	Fields map[string]json.RawMessage
-	// order is the line's place in its file, merged its time on one scale.
-	order  int
-	merged time.Time
+	// index is the number of the line in the order of reading, adjusted its time, which is not
+	// before that of the node's previous line.
+	index    int
+	adjusted time.Time
 }
 
-// Text returns a field's text; strings lose their quotes.
+// Text returns the value of a field as text, strings without quotes.
 func (l *Line) Text(field string) string {
 	raw := l.Fields[field]
 	var text string
@@ -44,13 +45,13 @@
 	return string(raw)
 }
 
-// maxLineBytes bounds a line of a log.
+// maxLineBytes is the maximum length of a line of a log.
 const maxLineBytes = 1 << 20
 
-// Logs are the merged lines of many nodes.
+// Logs holds the lines of many nodes' logs.
 type Logs struct {
 	lines []Line
-	// Skipped counts lines that are no events.
+	// Skipped counts lines that are not events.
 	Skipped int
 }
 
@@ -59,18 +60,18 @@
 	scanner := bufio.NewScanner(input)
 	scanner.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
 	for scanner.Scan() {
-		line, ok := parse(scanner.Text())
+		line, ok := parseLine(scanner.Text())
 		if !ok {
 			l.Skipped++
 			continue
 		}
-		line.order = len(l.lines)
+		line.index = len(l.lines)
 		l.lines = append(l.lines, line)
 	}
-	return errors.Wrap(scanner.Err(), "read a log; lines have 1 MiB at most")
+	return errors.Wrap(scanner.Err(), "read log; lines may have at most 1 MiB")
 }
 
-func parse(text string) (Line, bool) {
+func parseLine(text string) (Line, bool) {
 	start := strings.IndexByte(text, '{')
 	if start < 0 {
 		return Line{}, false
@@ -91,46 +92,47 @@
 	return line, true
 }
 
-// Lines returns all lines in the order of their times.
+// Lines returns all lines in the order of their adjusted times, which are in Time.
 func (l *Logs) Lines() []Line {
-	merged := l.merge()
-	for i := range merged {
-		merged[i].Time = merged[i].merged
+	ordered := l.merge()
+	for i := range ordered {
+		ordered[i].Time = ordered[i].adjusted
 	}
-	return merged
+	return ordered
 }
 
-// merge orders all lines by time, and those of one node as they were written.
+// merge returns all lines in the order of their adjusted times. Lines of one node keep their
+// order.
 func (l *Logs) merge() []Line {
 	latest := map[string]time.Time{}
 	for i := range l.lines {
 		line := &l.lines[i]
-		line.merged = line.Time
-		if before := latest[line.Node]; before.After(line.merged) {
-			line.merged = before
+		line.adjusted = line.Time
+		if previous := latest[line.Node]; previous.After(line.adjusted) {
+			line.adjusted = previous
 		}
-		latest[line.Node] = line.merged
+		latest[line.Node] = line.adjusted
 	}
-	merged := slices.Clone(l.lines)
-	slices.SortStableFunc(merged, func(first, second Line) int {
-		return cmp.Or(first.merged.Compare(second.merged), cmp.Compare(first.order, second.order))
+	ordered := slices.Clone(l.lines)
+	slices.SortStableFunc(ordered, func(first, second Line) int {
+		return cmp.Or(first.adjusted.Compare(second.adjusted), cmp.Compare(first.index, second.index))
 	})
-	return merged
+	return ordered
 }
 
-// NotFoundError tells that no line matches.
+// NotFoundError is returned if no line matches.
 type NotFoundError struct{ What, Name string }
 
 // Error implements the error interface.
 func (e *NotFoundError) Error() string {
-	return fmt.Sprintf("no line tells of %s %q; give the logs of all nodes, and look for lines_dropped in them", e.What, e.Name)
+	return fmt.Sprintf("no log line mentions %s %q; give the logs of all nodes and check them for lines_dropped", e.What, e.Name)
 }
 
-// contextBefore is how far back changes of belief are shown before a request.
-const contextBefore = 8 * time.Second
+// contextPeriod is the time before a request whose state changes are shown.
+const contextPeriod = 8 * time.Second
 
-// Request writes the story of a request: what its nodes believed of its service
-// shortly before, and every line that names it.
+// Request writes every line that names a request, and the state changes of its nodes that
+// concern its service or servers from shortly before.
 func (l *Logs) Request(out io.Writer, id string) error {
 	lines := l.merge()
 	first, last := -1, -1
@@ -150,17 +152,17 @@
 	if first < 0 {
 		return &NotFoundError{"request", id}
 	}
-	since := lines[first].merged.Add(-contextBefore)
-	return write(out, lines[:last+1], func(line *Line) bool {
+	since := lines[first].adjusted.Add(-contextPeriod)
+	return writeLines(out, lines[:last+1], func(line *Line) bool {
 		if line.Text("request") == id {
 			return true
 		}
-		return nodes[line.Node] && line.merged.After(since) && concerns(line, services, servers)
+		return nodes[line.Node] && line.adjusted.After(since) && concerns(line, services, servers)
 	})
 }
 
-// concerns reports whether a line tells a belief about a service, its servers,
-// or about all.
+// concerns reports whether a line is a state change of one of the services or servers, or of
+// the node as a whole.
 func concerns(line *Line, services, servers map[string]bool) bool {
 	if eventlog.Vocabulary[line.Event] != eventlog.Belief {
 		return false
@@ -172,16 +174,18 @@
 	return (service != "" && services[service]) || (server != "" && servers[server])
 }
 
-// Server writes what nodes believed of a server, and the attempts that failed on it.
+// Server writes the lines that concern a server, such as state changes and failed attempts, but
+// not the requests that it served.
 func (l *Logs) Server(out io.Writer, id string) error {
-	return l.all(out, "server", id, func(line *Line) bool {
-		return line.Text("server") == id && line.Event != eventlog.RequestServed || line.Text("target") == id || line.Text("leader") == id
+	return l.writeMatching(out, "server", id, func(line *Line) bool {
+		return line.Text("server") == id && line.Event != eventlog.RequestServed ||
+			line.Text("target") == id || line.Text("leader") == id
 	})
 }
 
-// Tenant writes what a tenant's callers were refused, when its less urgent work was held back
-// for more urgent work, and what their nodes believed of the
-// quotas and the configuration.
+// Tenant writes a tenant's failed requests, the periods in which its less urgent work was
+// throttled, and the quota shares, configuration changes and lost messages of the nodes that
+// logged lines about the tenant.
 func (l *Logs) Tenant(out io.Writer, name string) error {
 	nodes := map[string]bool{}
 	for i := range l.lines {
@@ -192,7 +196,7 @@
 	if len(nodes) == 0 {
 		return &NotFoundError{"tenant", name}
 	}
-	return write(out, l.merge(), func(line *Line) bool {
+	return writeLines(out, l.merge(), func(line *Line) bool {
 		switch line.Event {
 		case eventlog.RequestFailed, eventlog.TransactionRolledBack, eventlog.QuotaHeldBack:
 			return line.Text("tenant") == name
@@ -204,23 +208,24 @@
 	})
 }
 
-// Failover writes the changes of a service's primary.
+// Failover writes the state changes that concern a service, such as changes of its primary.
 func (l *Logs) Failover(out io.Writer, service string) error {
-	return l.all(out, "service", service, func(line *Line) bool {
+	return l.writeMatching(out, "service", service, func(line *Line) bool {
 		return line.Text("service") == service && eventlog.Vocabulary[line.Event] == eventlog.Belief
 	})
 }
 
-func (l *Logs) all(out io.Writer, what, name string, matches func(*Line) bool) error {
+// writeMatching writes the lines that match, or returns a NotFoundError if there are none.
+func (l *Logs) writeMatching(out io.Writer, what, name string, matches func(*Line) bool) error {
 	lines := l.merge()
 	found := slices.ContainsFunc(lines, func(line Line) bool { return matches(&line) })
 	if !found {
 		return &NotFoundError{what, name}
 	}
-	return write(out, lines, matches)
+	return writeLines(out, lines, matches)
 }
 
-func write(out io.Writer, lines []Line, shown func(*Line) bool) error {
+func writeLines(out io.Writer, lines []Line, shown func(*Line) bool) error {
 	for i := range lines {
 		line := &lines[i]
 		if !shown(line) {
@@ -230,8 +235,9 @@
 		for _, name := range slices.Sorted(maps.Keys(line.Fields)) {
 			fields.WriteString(" " + name + "=" + line.Text(name))
 		}
-		if _, err := fmt.Fprintf(out, "%s %-20s %s%s\n", line.merged.Format("15:04:05.000"), line.Node, line.Event, fields.String()); err != nil {
-			return errors.Wrap(err, "write the story")
+		if _, err := fmt.Fprintf(out, "%s %-20s %s%s\n",
+			line.adjusted.Format("15:04:05.000"), line.Node, line.Event, fields.String()); err != nil {
+			return errors.Wrap(err, "write lines")
 		}
 	}
 	return nil
--- a/internal/lab/explain/explain_test.go
+++ b/internal/lab/explain/explain_test.go
@@ -8,7 +8,7 @@
 	"github.com/shoenig/test/must"
 )
 
-const logs = `  24.1 n1 {"time":"2026-12-02T10:00:00.1Z","event":"primary_proved","node":"n1","service":"bookings","server":"s1","position":"1/7"}
+const sampleLogs = `  24.1 n1 {"time":"2026-12-02T10:00:00.1Z","event":"primary_proved","node":"n1","service":"bookings","server":"s1","position":"1/7"}
 {"time":"2026-12-02T10:00:01Z","event":"primary_denied","node":"n1","service":"bookings","server":"s1"}
 {"time":"2026-12-02T10:00:00.9Z","event":"configuration_applied","node":"n1","version":7}
 {"time":"2026-12-02T10:00:01.5Z","event":"attempt_failed","node":"n1","request":"r1","server":"s1","error":"EOF"}
@@ -22,12 +22,14 @@
 func read(t *testing.T) *Logs {
 	t.Helper()
 	read := &Logs{}
-	must.NoError(t, read.Read(strings.NewReader(logs)))
+	must.NoError(t, read.Read(strings.NewReader(sampleLogs)))
 	must.Eq(t, 2, read.Skipped)
 	return read
 }
 
-func TestRequestIsToldWithWhatItsNodeBelieved(t *testing.T) {
+// A request's lines must include the earlier state changes of its node, in the order in which
+// the node wrote them although its clock went back.
+func TestRequestIncludesEarlierStateChanges(t *testing.T) {
 	var out strings.Builder
 	must.NoError(t, read(t).Request(&out, "r1"))
 	must.Eq(t, `10:00:00.100 n1                   primary_proved position=1/7 server=s1 service=bookings
@@ -38,6 +40,7 @@
 `, out.String())
 }
 
+// The lines of a server or service must be selected by any node's log.
 func TestServerAndFailover(t *testing.T) {
 	var out strings.Builder
 	must.NoError(t, read(t).Server(&out, "s2"))
@@ -47,9 +50,11 @@
 	must.Eq(t, 3, strings.Count(out.String(), "\n"))
 }
 
-func TestTenantIsToldWithItsQuotas(t *testing.T) {
-	told := &Logs{}
-	must.NoError(t, told.Read(strings.NewReader(`{"time":"2026-12-02T10:00:00Z","event":"quota_share","node":"n1","nodes":59}
+// A tenant's lines must include the quota events of its nodes, but not of other tenants or
+// nodes.
+func TestTenantIncludesQuotaEvents(t *testing.T) {
+	tenantLogs := &Logs{}
+	must.NoError(t, tenantLogs.Read(strings.NewReader(`{"time":"2026-12-02T10:00:00Z","event":"quota_share","node":"n1","nodes":59}
 {"time":"2026-12-02T10:00:00Z","event":"quota_share","node":"n2","nodes":59}
 {"time":"2026-12-02T10:00:00.5Z","event":"quota_held_back","node":"n3","tenant":"amber","level":"1","began":true}
 {"time":"2026-12-02T10:00:00.6Z","event":"quota_held_back","node":"n3","tenant":"birch","level":"1","began":true}
@@ -57,14 +62,15 @@
 {"time":"2026-12-02T10:00:02Z","event":"request_failed","node":"n1","request":"r2","tenant":"birch","outcome":"over_quota"}
 `)))
 	var out strings.Builder
-	must.NoError(t, told.Tenant(&out, "amber"))
+	must.NoError(t, tenantLogs.Tenant(&out, "amber"))
 	must.Eq(t, `10:00:00.000 n1                   quota_share nodes=59
 10:00:00.500 n3                   quota_held_back began=true level=1 tenant=amber
 10:00:01.000 n1                   request_failed outcome=over_quota request=r1 tenant=amber
 `, out.String())
 }
 
-func TestUnknownNamesAreTyped(t *testing.T) {
+// A name that no line contains must be reported and not give an empty output.
+func TestUnknownNamesReturnNotFoundError(t *testing.T) {
 	var missing *NotFoundError
 	must.True(t, errors.As(read(t).Request(&strings.Builder{}, "r9"), &missing))
 	must.True(t, errors.As(read(t).Server(&strings.Builder{}, "s7"), &missing))
