--- a/internal/lab/timeline/timeline.go
+++ b/internal/lab/timeline/timeline.go
@@ -1,9 +1,10 @@
-// Package timeline counts what the event logs of several nodes tell of a span of time,
-// and draws it as one page: how requests ended, with takeovers, configurations, nodes'
-// starts and stops and outages of the store above one another.
+// Package timeline counts the events in the logs of several nodes over time and draws them on
+// one page: the outcomes of requests, and below them takeovers, configuration changes, starts
+// and stops of nodes and outages of the store.
 //
-// Logs are bounded: of what was served, and of failures in a storm, only some lines are
-// written. Nodes tell each second what they dropped (lines_dropped), and that is counted.
+// Nodes log only a limited number of lines per second, so lines of served requests, and of
+// failed ones if there are many, may be missing. Nodes log the number of dropped lines each
+// second (lines_dropped), and these are counted as well.
 package timeline
 
 import (
@@ -19,19 +20,19 @@
 // Ending is how a request ended.
 type Ending uint8
 
-// The endings, as they are stacked.
+// The endings, from the bottom of the stack up.
 const (
 	Served Ending = iota
 	Late
 	Refused
 	Unknown
-	endings
+	endingCount
 )
 
-// Mark is a kind of event that is marked on the page.
+// Mark is a kind of event that is drawn as a dot.
 type Mark uint8
 
-// The marks, from the lowest lane up.
+// The marks, from the highest lane down.
 const (
 	NodeStart Mark = iota
 	NodeStop
@@ -39,33 +40,33 @@
 	StoreLost
 	Configuration
 	Takeover
-	marks
+	markCount
 )
 
-// Config says how to count.
+// Config configures Count.
 type Config struct {
-	// Step is the length of a column.
+	// Step is the duration of a column.
 	Step time.Duration
-	// Late is the time from which a served request counts as late.
+	// Late is the response time from which a served request counts as late.
 	Late time.Duration
 }
 
-// Timeline is what was counted.
+// Timeline holds the counted events.
 type Timeline struct {
 	Start time.Time
 	Step  time.Duration
-	// Requests counts endings by column.
-	Requests [endings][]float64
-	// Marked holds the moments of each mark.
-	Marked [marks][]time.Time
+	// Requests holds the number of requests by ending and column.
+	Requests [endingCount][]float64
+	// Marked holds the times of each mark.
+	Marked [markCount][]time.Time
 }
 
-var errNoLines = errors.New("the logs hold no events; give the JSON lines that nodes write")
+var errNoLines = errors.New("the logs contain no events; give the JSON lines that nodes write")
 
-// Count counts the lines of the logs.
+// Count counts the events in the logs.
 func Count(logs *explain.Logs, cfg Config) (*Timeline, error) {
 	if cfg.Step <= 0 || cfg.Late <= 0 {
-		return nil, errors.Errorf("step %v and late %v; both must be above zero", cfg.Step, cfg.Late)
+		return nil, errors.Errorf("step is %v and late is %v; both must be above zero", cfg.Step, cfg.Late)
 	}
 	lines := logs.Lines()
 	if len(lines) == 0 {
@@ -78,73 +79,73 @@
 	}
 	versions := map[string]bool{}
 	for i := range lines {
-		t.count(&lines[i], cfg, versions)
+		t.countLine(&lines[i], cfg, versions)
 	}
 	return t, nil
 }
 
-// column returns the column of a moment; clocks that went back fall into the first.
+// column returns the column of a time; times before the start belong to the first column.
 func (t *Timeline) column(at time.Time) int { return max(0, int(at.Sub(t.Start)/t.Step)) }
 
-func (t *Timeline) add(ending Ending, at time.Time, count float64) {
+func (t *Timeline) addRequests(ending Ending, at time.Time, count float64) {
 	column := min(t.column(at), len(t.Requests[ending])-1)
 	t.Requests[ending][column] += count
 }
 
-func (t *Timeline) mark(mark Mark, at time.Time) { t.Marked[mark] = append(t.Marked[mark], at) }
+func (t *Timeline) addMark(mark Mark, at time.Time) { t.Marked[mark] = append(t.Marked[mark], at) }
 
-func (t *Timeline) count(line *explain.Line, cfg Config, versions map[string]bool) {
+func (t *Timeline) countLine(line *explain.Line, cfg Config, versions map[string]bool) {
 	switch line.Event {
 	case eventlog.RequestServed:
 		ending := Served
-		if took, ok := number(line, "took"); ok && time.Duration(took*float64(time.Millisecond)) >= cfg.Late {
+		if took, ok := numericField(line, "took"); ok && time.Duration(took*float64(time.Millisecond)) >= cfg.Late {
 			ending = Late
 		}
-		t.add(ending, line.Time, 1)
+		t.addRequests(ending, line.Time, 1)
 	case eventlog.RequestFailed:
 		ending := Unknown
 		if line.Text("promised_not_kept") == "true" {
 			ending = Refused
 		}
-		t.add(ending, line.Time, 1)
+		t.addRequests(ending, line.Time, 1)
 	case eventlog.LinesDropped:
 		t.countDropped(line)
 	case eventlog.NodeStarted:
-		t.mark(NodeStart, line.Time)
+		t.addMark(NodeStart, line.Time)
 	case eventlog.NodeStopping:
-		t.mark(NodeStop, line.Time)
+		t.addMark(NodeStop, line.Time)
 	case eventlog.NodeDegraded:
 		if line.Text("degraded") == "true" {
-			t.mark(Degraded, line.Time)
+			t.addMark(Degraded, line.Time)
 		}
 	case eventlog.StoreLost:
-		t.mark(StoreLost, line.Time)
+		t.addMark(StoreLost, line.Time)
 	case eventlog.ConfigurationApplied:
-		// The first node that has a version stands for all.
+		// A version is marked once, when the first node applies it.
 		if version := line.Text("version"); !versions[version] {
 			versions[version] = true
-			t.mark(Configuration, line.Time)
+			t.addMark(Configuration, line.Time)
 		}
 	case eventlog.FailoverOrder:
 		if line.Text("outcome") == "accepted" {
-			t.mark(Takeover, line.Time)
+			t.addMark(Takeover, line.Time)
 		}
 	}
 }
 
-// countDropped counts requests whose lines were dropped in the second before: those served
-// as in time, since nothing tells how long they took.
+// countDropped counts requests whose lines were dropped in the previous second. Served ones
+// count as not late, since their response times are unknown, and failed ones as refused.
 func (t *Timeline) countDropped(line *explain.Line) {
-	if served, ok := number(line, string(eventlog.RequestServed)); ok {
-		t.add(Served, line.Time, served)
+	if served, ok := numericField(line, string(eventlog.RequestServed)); ok {
+		t.addRequests(Served, line.Time, served)
 	}
-	if failed, ok := number(line, string(eventlog.RequestFailed)); ok {
-		t.add(Refused, line.Time, failed)
+	if failed, ok := numericField(line, string(eventlog.RequestFailed)); ok {
+		t.addRequests(Refused, line.Time, failed)
 	}
 }
 
-// number returns a numeric field.
-func number(line *explain.Line, field string) (float64, bool) {
+// numericField returns a numeric field. It returns false if there is none.
+func numericField(line *explain.Line, field string) (float64, bool) {
 	var value float64
 	err := json.Unmarshal(line.Fields[field], &value)
 	return value, err == nil
--- a/internal/lab/timeline/timeline_test.go
+++ b/internal/lab/timeline/timeline_test.go
@@ -13,7 +13,7 @@
 	"dewknot/internal/lab/explain"
 )
 
-const story = `
+const sampleLogs = `
   0.0100 n1 {"time":"2026-04-06T21:23:12.01Z","event":"node_started","node":"n1"}
   0.0200 n1 {"time":"2026-04-06T21:23:12.02Z","event":"configuration_applied","node":"n1","version":4}
   0.0300 n2 {"time":"2026-04-06T21:23:12.03Z","event":"configuration_applied","node":"n2","version":4}
@@ -33,10 +33,11 @@
 func read(t *testing.T) *explain.Logs {
 	t.Helper()
 	logs := &explain.Logs{}
-	must.NoError(t, logs.Read(strings.NewReader(story)))
+	must.NoError(t, logs.Read(strings.NewReader(sampleLogs)))
 	return logs
 }
 
+// Requests and marks must be counted in the right column, dropped lines included.
 func TestEndingsAndMarksAreCounted(t *testing.T) {
 	counted, err := Count(read(t), Config{Step: 500 * time.Millisecond, Late: time.Second})
 	must.NoError(t, err)
@@ -44,12 +45,13 @@
 	must.Eq(t, []float64{0, 1, 0}, counted.Requests[Late])
 	must.Eq(t, []float64{0, 1, 2}, counted.Requests[Refused])
 	must.Eq(t, []float64{0, 1, 0}, counted.Requests[Unknown])
-	for mark, moments := range counted.Marked {
-		must.Len(t, 1, moments, must.Sprint(markNames[mark]))
+	for mark, times := range counted.Marked {
+		must.Len(t, 1, times, must.Sprint(markNames[mark]))
 	}
 }
 
-func TestBadInputNamesTheRemedy(t *testing.T) {
+// Errors for invalid input must say how to correct it.
+func TestInvalidInputIsExplained(t *testing.T) {
 	_, err := Count(&explain.Logs{}, Config{Step: time.Second, Late: time.Second})
 	must.ErrorContains(t, err, "give the JSON lines")
 	_, err = Count(read(t), Config{Late: time.Second})
@@ -59,7 +61,8 @@
 	must.ErrorContains(t, counted.Draw(filepath.Join(t.TempDir(), "none", "x.png")), "check its folder")
 }
 
-func TestPageIsDrawn(t *testing.T) {
+// Draw must write a readable picture of the page's size.
+func TestDrawWritesPicture(t *testing.T) {
 	counted, err := Count(read(t), Config{Step: 500 * time.Millisecond, Late: time.Second})
 	must.NoError(t, err)
 	path := filepath.Join(t.TempDir(), "page.png")
