--- a/internal/lab/virtualtime/scheduler.go
+++ b/internal/lab/virtualtime/scheduler.go
@@ -1,6 +1,6 @@
-// Package virtualtime runs events in the order of their times, without waiting.
-// Events at one time run in the order in which they were scheduled, so that a run
-// is the same every time.
+// Package virtualtime runs scheduled events in the order of their times without waiting. Events
+// with the same time run in the order in which they were scheduled, so that runs are
+// reproducible.
 package virtualtime
 
 import (
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Scheduler is a clock with its events. It is used by one goroutine.
+// Scheduler is a virtual clock with its scheduled events. It is not safe for concurrent use.
 type Scheduler struct {
 	now    time.Duration
 	order  uint64
@@ -19,16 +19,16 @@
 // Now returns the virtual time.
 func (s *Scheduler) Now() time.Duration { return s.now }
 
-// Ran returns how many events have run.
+// Ran returns the number of events that have run.
 func (s *Scheduler) Ran() uint64 { return s.ran }
 
-// After schedules work; a negative delay counts as none.
+// After schedules an event after a delay; a negative delay counts as zero.
 func (s *Scheduler) After(delay time.Duration, run func()) {
 	s.order++
 	heap.Push(&s.events, event{at: s.now + max(delay, 0), order: s.order, run: run})
 }
 
-// RunUntil runs the events up to a time and sets the clock to it.
+// RunUntil runs all events up to and including a time and sets the clock to that time.
 func (s *Scheduler) RunUntil(end time.Duration) {
 	for len(s.events) > 0 && s.events[0].at <= end {
 		next := heap.Pop(&s.events).(event)
--- a/internal/lab/virtualtime/scheduler_test.go
+++ b/internal/lab/virtualtime/scheduler_test.go
@@ -7,7 +7,9 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestOrder(t *testing.T) {
+// Events must run in the order of their times, and simultaneous ones in the order of
+// scheduling.
+func TestEventsRunInOrder(t *testing.T) {
 	scheduler := &Scheduler{}
 	var ran []int
 	note := func(number int) func() { return func() { ran = append(ran, number) } }
