--- a/internal/lab/check/check.go
+++ b/internal/lab/check/check.go
@@ -277,14 +277,16 @@
 	for _, operation := range c.history.Operations {
 		c.judged(StopCutsNothing)
 		if operation.CutByStop {
-			c.violate(StopCutsNothing, "%s was cut off by the planned stop of %s at %s", operation.ID, operation.Node, operation.End)
+			c.violate(StopCutsNothing, "%s was cut off by the planned stop of %s at %s",
+				operation.ID, operation.Node, operation.End)
 		}
 		if operation.Outcome != history.OK {
 			continue
 		}
 		c.judged(OwnCompleteAnswer)
 		if operation.Answered != operation.ID || operation.Truncated {
-			c.violate(OwnCompleteAnswer, "%s got the answer of %q, truncated: %t", operation.ID, operation.Answered, operation.Truncated)
+			c.violate(OwnCompleteAnswer, "%s got the answer of %q, truncated: %t",
+				operation.ID, operation.Answered, operation.Truncated)
 		}
 	}
 }
@@ -367,7 +369,11 @@
 	}
 }
 
-func (c *checker) requireInForce(accepted history.Accepted, presence history.Presence, steps map[runKey][]history.InForce) {
+// requireInForce requires that an accepted version was in force in time on a node that was
+// present for long enough.
+func (c *checker) requireInForce(
+	accepted history.Accepted, presence history.Presence, steps map[runKey][]history.InForce,
+) {
 	due := max(accepted.At, presence.From) + PolicyLimit
 	if presence.To < due {
 		return
--- a/internal/lab/judge/caller.go
+++ b/internal/lab/judge/caller.go
@@ -28,7 +28,7 @@
 type Session interface {
 	// Ask sends a command and returns its answer. It returns false if the session ended
 	// without an answer.
-	Ask(asked command.Command) (Answer, bool)
+	Ask(cmd command.Command) (Answer, bool)
 	Close()
 }
 
@@ -39,7 +39,7 @@
 	Tenant string
 	Seed   *rand.Rand
 	Judge  *Judge
-	// Stays makes the caller keep each session until a failure ends it.
+	// Stays makes the caller keep each session until it fails or Run ends.
 	Stays bool
 	// Connect opens a session on some node and returns it with its route. The session is nil
 	// if it was rejected.
@@ -128,7 +128,9 @@
 func (c *Caller) sessionName() string { return fmt.Sprintf("%s.%d", c.Name, c.session) }
 
 func (c *Caller) recordRequest(id string, route *catalog.Route, began time.Time) {
-	c.Judge.RecordRequest(Request{ID: id, Session: c.sessionName(), Tenant: c.Tenant, Route: route, Began: began})
+	c.Judge.RecordRequest(Request{
+		ID: id, Session: c.sessionName(), Tenant: c.Tenant, Route: route, Began: began,
+	})
 }
 
 func (c *Caller) setValue(session Session) bool {
--- a/internal/lab/judge/judge.go
+++ b/internal/lab/judge/judge.go
@@ -111,7 +111,8 @@
 		j.recordViolation("request %s of tenant %q ran as principal %q", run.RequestID, request.tenant, run.Principal)
 	}
 	if run.First {
-		j.operations[request.tenant] = append(j.operations[request.tenant], operation{began: request.began, ran: run.At})
+		j.operations[request.tenant] = append(j.operations[request.tenant],
+			operation{began: request.began, ran: run.At})
 	}
 }
 
