--- a/internal/lab/standin/managed/sick_test.go
+++ b/internal/lab/standin/managed/degraded_test.go
@@ -12,19 +12,19 @@
 	"dewknot/internal/proxy/upstream"
 )
 
-// TestSickServers: a slow server takes several times the usual time, a grey one fails one
-// statement of some and answers the others well.
-func TestSickServers(t *testing.T) {
+// TestDegradedServers checks the simulated faults: a slow server multiplies the duration of
+// statements, a degraded one fails some of them.
+func TestDegradedServers(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		group := managed.NewGroup(managed.Settings{
 			Name: "g", Zones: []string{"a"}, Slots: 1, Queue: 1, Connections: 4, Work: 2 * time.Millisecond,
-		}, silentObserver{}, func(managed.Entry) {})
+		}, noopObserver{}, func(managed.Entry) {})
 		dialer := &managed.Dialer{Groups: map[string]*managed.Group{"g": group}}
 		server := group.Primary()
 		connection, _, err := dialer.Dial(t.Context(), upstream.Target{Address: server.ID(), Service: "g", Server: server.ID()})
 		must.NoError(t, err)
 		defer connection.Close()
-		ask := func() (upstream.Outcome, time.Duration) {
+		run := func() (upstream.Outcome, time.Duration) {
 			began := time.Now()
 			must.NoError(t, connection.Send([]upstream.Operation{{
 				Kind: upstream.RunStatement, RequestID: "r", Statement: &command.Statement{RequestID: "r", Text: "READ x"},
@@ -33,18 +33,18 @@
 			must.NoError(t, err)
 			return result.Outcome, time.Since(began)
 		}
-		outcome, took := ask()
+		outcome, took := run()
 		must.Eq(t, upstream.Succeeded, outcome)
 		must.Eq(t, 2*time.Millisecond, took)
 
 		server.SetSlowdown(5)
-		_, took = ask()
+		_, took = run()
 		must.Eq(t, 10*time.Millisecond, took)
 
 		server.FailOneOf(3)
 		failed := 0
 		for range 9 {
-			if outcome, _ = ask(); outcome == upstream.Failed {
+			if outcome, _ = run(); outcome == upstream.Failed {
 				failed++
 			}
 		}
--- a/internal/lab/standin/managed/managed.go
+++ b/internal/lab/standin/managed/managed.go
@@ -1,10 +1,10 @@
-// Package managed is a stand-in for a platform that manages database services
-// and a durable store, as the ports of internal/proxy see it: replicated
-// services whose primary changes only by order, fenced promotions, a directory
-// of servers and a store with watches and conditional writes.
+// Package managed simulates a platform that manages database services and a durable store. It
+// implements the interfaces that internal/proxy uses: replicated services whose primary changes
+// only on a promotion order, fencing tokens, a server directory, and a store with watches and
+// conditional writes.
 //
-// It keeps time with package time only, so tests run it in a synctest bubble on
-// virtual time. Faults are switched on by methods.
+// It uses package time only, so tests can run it on virtual time in a synctest bubble. Methods
+// switch faults on and off.
 package managed
 
 import (
@@ -16,31 +16,30 @@
 	"dewknot/internal/proxy/upstream"
 )
 
-// Run is a caller's statement that a server has begun to run.
+// Run describes a caller's statement that a server has started to run.
 type Run struct {
 	RequestID string
-	// Principal is in whose name the connection was opened.
+	// Principal is the identity under which the connection was opened.
 	Principal upstream.Principal
 	At        time.Time
-	// First is set unless an earlier statement of the same transaction ran there.
+	// First is false if an earlier statement of the same transaction ran on the server.
 	First bool
 }
 
-// Observer sees what the servers run. Its methods are called with the group's
-// lock held and must not call back.
+// Observer is notified of what the servers run. Its methods are called with the group's lock held
+// and must not call the group.
 type Observer interface {
-	// StatementRan tells of each statement that a server runs, the end of a transaction
-	// excepted.
+	// StatementRan reports each statement that a server runs, except COMMIT and ROLLBACK.
 	StatementRan(run Run)
-	// ReadRan tells that a caller's read ran on a log. has reports whether the
-	// log holds a commit that is still part of the service.
+	// ReadRan reports a caller's read. has reports whether the server has applied a commit at
+	// the time of the read.
 	ReadRan(requestID string, at time.Time, has func(position.Position) bool)
-	// WritesCommitted tells that the writes of some requests took effect.
+	// WritesCommitted reports that the writes of some requests took effect.
 	WritesCommitted(requestIDs []string, at position.Position)
-	// RolledBack tells that a promotion removed a commit.
+	// RolledBack reports that a promotion removed a commit.
 	RolledBack(at position.Position)
-	// CommittedAside tells that a replaced primary, which goes on, committed the writes of
-	// some requests: they are no part of the service.
+	// CommittedAside reports that a replaced primary that is still running as one committed the
+	// writes of some requests. These writes aren't part of the service.
 	CommittedAside(requestIDs []string)
 }
 
@@ -49,23 +48,25 @@
 	Name string
 	// Zones holds the zone of each server; the first is the first primary.
 	Zones []string
-	// Slots and Queue are the statements that a server runs and queues.
+	// Slots and Queue limit the statements that a server runs and queues.
 	Slots int
 	Queue int
-	// Connections bounds the connections to a server.
+	// Connections limits the connections to a server.
 	Connections int
-	// Work is the time of a statement, Handshake that of a new connection.
+	// Work is the duration of a statement, Handshake that of opening a connection.
 	Work      time.Duration
 	Handshake time.Duration
 	// ReceiveDelay and ApplyDelay are the delays of replication.
 	ReceiveDelay time.Duration
 	ApplyDelay   time.Duration
-	// PromotionDelay is the time from an accepted order to the change.
+	// PromotionDelay is the time from accepting a promotion order to the change of primary.
 	PromotionDelay time.Duration
-	// SynchronousReplicas must have received a commit before it is answered.
+	// SynchronousReplicas is the number of replicas that must receive a commit before the caller
+	// is answered.
 	SynchronousReplicas int
-	// Unfenced makes the platform check no tokens, and a replaced primary go on until it
-	// is told to step down, or for lingerTime after it reaches the new primary.
+	// Unfenced disables the check of fencing tokens. A replaced primary then keeps running as
+	// the primary until it is ordered to step down, or until it has been connected to the new
+	// primary for lingerDuration.
 	Unfenced bool
 	// NetworkDelay is the one-way delay between nodes and servers.
 	NetworkDelay time.Duration
@@ -79,7 +80,7 @@
 
 type write struct {
 	requestID string
-	thing     string
+	key       string
 	data      string
 }
 
@@ -95,10 +96,10 @@
 	servers []*Server
 	fence   uint64
 	serial  int
-	// lowered counts the orders whose token was lower than one seen before.
-	lowered int
-	// arrived is the highest token of the orders that have come, carried out or not.
-	arrived uint64
+	// loweredTokens counts the orders whose token was lower than that of an earlier order.
+	loweredTokens int
+	// highestToken is the highest token of all orders received, including rejected ones.
+	highestToken uint64
 }
 
 // Entry is a server's entry in the directory.
@@ -111,18 +112,18 @@
 	Draining bool
 	Primary  bool
 	Gone     bool
-	// Born is the time of the server's start, in milliseconds since 1970.
-	Born int64
+	// Born identifies the incarnation of the server: its start time in milliseconds since 1970.
+	Born int64 `json:"Born"`
 }
 
-// NewGroup starts a service; publish is called for each change of the directory.
+// NewGroup starts a service. publish is called for each change of the directory.
 func NewGroup(settings Settings, observer Observer, publish func(Entry)) *Group {
 	group := &Group{settings: settings, observer: observer, publish: publish, term: 1}
 	for _, zone := range settings.Zones {
 		group.addServer(zone)
 	}
 	group.primary = group.servers[0]
-	group.primary.ledTerm = group.term
+	group.primary.primaryTerm = group.term
 	for _, server := range group.servers {
 		group.announce(server)
 	}
@@ -133,13 +134,13 @@
 	g.serial++
 	server := &Server{
 		group: g, id: fmt.Sprintf("%s-%d", g.settings.Name, g.serial), zone: zone,
-		born: time.Now().UnixMilli(), up: true, reachable: true, sessions: map[*Session]struct{}{}, applyDelay: g.settings.ApplyDelay,
+		incarnation: time.Now().UnixMilli(), up: true, reachable: true, sessions: map[*Session]struct{}{}, applyDelay: g.settings.ApplyDelay,
 	}
 	g.servers = append(g.servers, server)
 	return server
 }
 
-// Replace starts a new server in a zone; it gets the primary's log.
+// Replace starts a new server in a zone. The server receives the primary's log.
 func (g *Group) Replace(zone string) *Server {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -149,16 +150,16 @@
 	return server
 }
 
-// announce publishes a server's entry; the lock is held or not needed yet.
+// announce publishes a server's entry. The lock must be held, except in NewGroup.
 func (g *Group) announce(server *Server) {
 	g.publish(Entry{
 		ID: server.id, Service: g.settings.Name, Address: server.id, Zone: server.zone, Slots: g.settings.Slots,
-		Draining: server.draining, Primary: server.leads(), Gone: !server.up, Born: server.born,
+		Draining: server.draining, Primary: server.isPrimary(), Gone: !server.up, Born: server.incarnation,
 	})
 }
 
-// Announce writes the entries of all servers that run, as they do after the store has lost
-// some.
+// Announce publishes the entries of all running servers again, as servers do after the store has
+// lost entries.
 func (g *Group) Announce() {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -169,28 +170,28 @@
 	}
 }
 
-// Server returns a server by its index in the order of their start.
+// Server returns a server by its index in start order.
 func (g *Group) Server(index int) *Server {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.servers[index]
 }
 
-// SetConnections changes the limit of connections to each server.
+// SetConnections changes the connection limit of each server.
 func (g *Group) SetConnections(limit int) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.settings.Connections = limit
 }
 
-// Primary returns the present primary.
+// Primary returns the current primary.
 func (g *Group) Primary() *Server {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.primary
 }
 
-// find returns the server with an id, nil if there is none; the lock is held.
+// find returns the server with an ID, or nil. The lock must be held.
 func (g *Group) find(id string) *Server {
 	for _, server := range g.servers {
 		if server.id == id {
@@ -200,8 +201,8 @@
 	return nil
 }
 
-// Order takes an order to promote a server under a fencing token. It reports
-// false if a newer token was seen or the server does not run.
+// Order handles an order to promote a server under a fencing token. It returns false if a higher
+// token was seen before or the server isn't running.
 func (g *Group) Order(id string, token uint64) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -220,7 +221,7 @@
 	return true
 }
 
-// promote makes a server the primary in one moment.
+// promote makes a server the primary.
 func (g *Group) promote(target *Server) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -233,8 +234,8 @@
 		g.linger(previous)
 	}
 	g.primary = target
-	target.ledTerm, target.steppedDown, target.lingering = g.term, false, false
-	target.held = false
+	target.primaryTerm, target.steppedDown, target.lingering = g.term, false, false
+	target.replicationHeld = false
 	target.applied = len(target.log)
 	for _, lost := range previous.log {
 		if !target.holds(lost.at) {
@@ -253,18 +254,19 @@
 	g.announce(target)
 }
 
-// lingerTime is how long a replaced primary goes on once it reaches the new one.
-const lingerTime = time.Second
+// lingerDuration is how long a replaced primary keeps running as one after it is connected to the
+// new primary.
+const lingerDuration = time.Second
 
-// lingerLook is the pause between looks whether it does.
-const lingerLook = 50 * time.Millisecond
+// lingerCheckInterval is how often a replaced primary is checked for a connection to the new one.
+const lingerCheckInterval = 50 * time.Millisecond
 
-// linger lets a replaced primary go on; the lock is held.
+// linger lets a replaced primary keep running as one. The lock must be held.
 func (g *Group) linger(server *Server) {
 	server.lingering = true
 	var since time.Time
-	var look func()
-	look = func() {
+	var check func()
+	check = func() {
 		g.mutex.Lock()
 		defer g.mutex.Unlock()
 		if !server.lingering {
@@ -272,20 +274,20 @@
 		}
 		now := time.Now()
 		switch {
-		case server.severed:
+		case server.sendBlocked:
 			since = time.Time{}
 		case since.IsZero():
 			since = now
-		case now.Sub(since) >= lingerTime:
+		case now.Sub(since) >= lingerDuration:
 			g.endLinger(server)
 			return
 		}
-		time.AfterFunc(lingerLook, look)
+		time.AfterFunc(lingerCheckInterval, check)
 	}
-	time.AfterFunc(lingerLook, look)
+	time.AfterFunc(lingerCheckInterval, check)
 }
 
-// endLinger makes a replaced primary follow the new one; the lock is held.
+// endLinger makes a replaced primary a replica of the new one. The lock must be held.
 func (g *Group) endLinger(server *Server) {
 	server.lingering = false
 	server.truncate(g.primary)
@@ -295,17 +297,17 @@
 	}
 }
 
-// commitAside appends a transaction to the log of a replaced primary; the lock is held.
-func (g *Group) commitAside(server *Server, writes []write) position.Position {
-	at := position.Position{Term: server.ledTerm, Offset: uint64(len(server.log) + 1)}
+// commitOnReplaced appends a transaction to the log of a replaced primary. The lock must be held.
+func (g *Group) commitOnReplaced(server *Server, writes []write) position.Position {
+	at := position.Position{Term: server.primaryTerm, Offset: uint64(len(server.log) + 1)}
 	server.log = append(server.log[:len(server.log):len(server.log)], entry{at: at, writes: writes})
 	server.applied = len(server.log)
-	g.observer.CommittedAside(requestsOf(writes))
+	g.observer.CommittedAside(requestIDsOf(writes))
 	return at
 }
 
-// requestsOf returns the requests of writes.
-func requestsOf(writes []write) []string {
+// requestIDsOf returns the IDs of the requests that made the writes.
+func requestIDsOf(writes []write) []string {
 	requestIDs := make([]string, 0, len(writes))
 	for _, each := range writes {
 		requestIDs = append(requestIDs, each.requestID)
@@ -313,29 +315,29 @@
 	return requestIDs
 }
 
-// arrive notes the token of an order that has come.
-func (g *Group) arrive(token uint64) {
+// recordToken records the token of a received order.
+func (g *Group) recordToken(token uint64) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	if token < g.arrived {
-		g.lowered++
+	if token < g.highestToken {
+		g.loweredTokens++
 	}
-	g.arrived = max(g.arrived, token)
+	g.highestToken = max(g.highestToken, token)
 }
 
-// LoweredTokens counts the orders that had a lower token than one before.
+// LoweredTokens returns how many orders had a lower token than an earlier order.
 func (g *Group) LoweredTokens() int {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return g.lowered
+	return g.loweredTokens
 }
 
-// replicateTo sends the primary's log to a replica; the lock is held.
+// replicateTo sends the primary's log to a replica. The lock must be held.
 func (g *Group) replicateTo(replica *Server) {
 	time.AfterFunc(g.settings.ReceiveDelay, func() {
 		g.mutex.Lock()
 		defer g.mutex.Unlock()
-		if replica == g.primary || replica.lingering || !replica.receives() || !g.primary.up || g.primary.severed {
+		if replica == g.primary || replica.lingering || !replica.receives() || !g.primary.up || g.primary.sendBlocked {
 			return
 		}
 		if len(g.primary.log) <= len(replica.log) {
@@ -351,12 +353,12 @@
 	})
 }
 
-// commit appends a transaction to the primary's log; the lock is held.
+// commit appends a transaction to the primary's log. The lock must be held.
 func (g *Group) commit(writes []write) position.Position {
 	at := position.Position{Term: g.term, Offset: uint64(len(g.primary.log) + 1)}
 	g.primary.log = append(g.primary.log, entry{at: at, writes: writes})
 	g.primary.applied = len(g.primary.log)
-	g.observer.WritesCommitted(requestsOf(writes), at)
+	g.observer.WritesCommitted(requestIDsOf(writes), at)
 	for _, server := range g.servers {
 		if server != g.primary {
 			g.replicateTo(server)
@@ -365,7 +367,7 @@
 	return at
 }
 
-// received counts the replicas that hold a position; the lock is held.
+// received returns the number of replicas that have received a position. The lock must be held.
 func (g *Group) received(at position.Position) int {
 	count := 0
 	for _, server := range g.servers {
--- a/internal/lab/standin/managed/server.go
+++ b/internal/lab/standin/managed/server.go
@@ -12,37 +12,40 @@
 	group *Group
 	id    string
 	zone  string
-	// born is the time of the process's start, in milliseconds since 1970.
-	born int64
+	// incarnation is the start time of the process in milliseconds since 1970.
+	incarnation int64
 
 	up bool
-	// reachable is false while the server is dark to the nodes.
+	// reachable is false while nodes can't reach the server.
 	reachable bool
 	draining  bool
-	// deaf servers receive nothing, held ones by order; severed primaries send nothing.
-	deaf    bool
-	held    bool
-	severed bool
-	// ledTerm is the term in which the server leads, or last led; lingering is set while a
-	// replaced primary goes on, steppedDown while a primary was told to give up the lead.
-	ledTerm     uint64
+	// receiveBlocked stops replication to the server because of a fault, replicationHeld because a
+	// node ordered it. sendBlocked stops replication from the primary.
+	receiveBlocked  bool
+	replicationHeld bool
+	sendBlocked     bool
+	// primaryTerm is the latest term in which the server was the primary. lingering is set while a
+	// replaced primary keeps running as one, steppedDown after the primary obeyed an order to
+	// step down.
+	primaryTerm uint64
 	lingering   bool
 	steppedDown bool
-	// loseAnswers makes the next answers get lost after the operation ran.
+	// loseAnswers is how many of the next answers are lost after the operation ran.
 	loseAnswers int
-	// slowdown is how many times the usual time a statement takes. One of failOneOf
-	// statements fails; none if it is 0. asked counts them.
-	slowdown   int
-	failOneOf  int
-	asked      int
-	applyDelay time.Duration
-	busyUntil  time.Time
-	// crashes counts the crashes, so that an entry lapses for the newest only.
+	// slowdown multiplies the duration of statements. One of failOneOf statements fails, none
+	// if it is 0. failCounter counts the statements
+	// since the start.
+	slowdown    int
+	failOneOf   int
+	failCounter int
+	applyDelay  time.Duration
+	busyUntil   time.Time
+	// crashes counts the crashes, so that the entry only expires after the latest one.
 	crashes int
 
 	log     []entry
 	applied int
-	// statements counts the callers' statements that have run.
+	// statements counts the callers' statements that ran.
 	statements int
 	running    int
 	queued     int
@@ -52,13 +55,13 @@
 // Zone returns the server's zone.
 func (s *Server) Zone() string { return s.zone }
 
-// Statements returns how many statements of callers have run on the server.
+// Statements returns how many statements of callers ran on the server.
 func (s *Server) Statements() int {
 	defer s.lock()()
 	return s.statements
 }
 
-// ID returns the server's id.
+// ID returns the server's ID.
 func (s *Server) ID() string { return s.id }
 
 func (s *Server) lock() func() {
@@ -66,7 +69,7 @@
 	return s.group.mutex.Unlock
 }
 
-// Crash ends the server's process; its log stays.
+// Crash ends the server's process. It keeps its log.
 func (s *Server) Crash() {
 	defer s.lock()()
 	s.up = false
@@ -76,14 +79,14 @@
 	s.dropSessions()
 	s.crashes++
 	crash := s.crashes
-	time.AfterFunc(entryLife, func() { s.lapse(crash) })
+	time.AfterFunc(entryTTL, func() { s.expireEntry(crash) })
 }
 
-// entryLife is how long an entry of the directory outlives the last heartbeat of its server.
-const entryLife = 3600 * time.Millisecond
+// entryTTL is how long a directory entry stays after the last heartbeat of its server.
+const entryTTL = 3600 * time.Millisecond
 
-// lapse removes the entry of a server that has been down since its crash with a number.
-func (s *Server) lapse(crash int) {
+// expireEntry removes the directory entry of a server that has been down since the given crash.
+func (s *Server) expireEntry(crash int) {
 	defer s.lock()()
 	if !s.up && s.crashes == crash {
 		s.group.announce(s)
@@ -93,38 +96,38 @@
 // Restart starts a crashed server with its log.
 func (s *Server) Restart() {
 	defer s.lock()()
-	s.up, s.reachable, s.born = true, true, time.Now().UnixMilli()
+	s.up, s.reachable, s.incarnation = true, true, time.Now().UnixMilli()
 	s.group.announce(s)
 	s.group.replicateTo(s)
 }
 
-// RestartEmpty starts a crashed server under its id, without its log.
+// RestartEmpty starts a crashed server with the same ID and an empty log.
 func (s *Server) RestartEmpty() {
 	unlock := s.lock()
-	s.log, s.applied, s.held, s.deaf = nil, 0, false, false
+	s.log, s.applied, s.replicationHeld, s.receiveBlocked = nil, 0, false, false
 	unlock()
 	s.Restart()
 }
 
-// SetReachable cuts the server off from the nodes, or heals the cut.
+// SetReachable sets whether the nodes can reach the server.
 func (s *Server) SetReachable(reachable bool) {
 	defer s.lock()()
 	s.reachable = reachable
 }
 
-// SetDeaf keeps a replica from receiving, or lets it receive again.
-func (s *Server) SetDeaf(deaf bool) {
+// SetDeaf sets whether a replica stops receiving replication.
+func (s *Server) SetDeaf(receiveBlocked bool) {
 	defer s.lock()()
-	s.deaf = deaf
-	if !deaf {
+	s.receiveBlocked = receiveBlocked
+	if !receiveBlocked {
 		s.group.replicateTo(s)
 	}
 }
 
-// SetSevered keeps a primary's log from its replicas, or sends it again.
-func (s *Server) SetSevered(severed bool) {
+// SetSevered sets whether a primary stops sending its log to the replicas.
+func (s *Server) SetSevered(sendBlocked bool) {
 	defer s.lock()()
-	s.severed = severed
+	s.sendBlocked = sendBlocked
 	for _, other := range s.group.servers {
 		if other != s.group.primary {
 			s.group.replicateTo(other)
@@ -132,59 +135,59 @@
 	}
 }
 
-// SetApplyDelay changes how late a replica applies what it receives.
+// SetApplyDelay sets how long after receiving a transaction a replica applies it.
 func (s *Server) SetApplyDelay(delay time.Duration) {
 	defer s.lock()()
 	s.applyDelay = delay
 }
 
-// LoseAnswers makes the server lose its next answers to statements.
+// LoseAnswers makes the server lose its next answers.
 func (s *Server) LoseAnswers(count int) {
 	defer s.lock()()
 	s.loseAnswers = count
 }
 
-// SetSlowdown makes the server take several times the usual time for each statement.
+// SetSlowdown multiplies the duration of each statement.
 func (s *Server) SetSlowdown(times int) {
 	defer s.lock()()
 	s.slowdown = times
 }
 
-// FailOneOf makes one of so many statements fail after it has taken its slot; 0 ends that.
+// FailOneOf makes one of count statements fail after it has taken its slot. 0 ends the fault.
 func (s *Server) FailOneOf(count int) {
 	defer s.lock()()
 	s.failOneOf = count
 }
 
-// fails reports whether the next statement fails; the lock is held.
+// fails reports whether the next statement fails. The lock must be held.
 func (s *Server) fails() bool {
 	if s.failOneOf == 0 {
 		return false
 	}
-	s.asked++
-	return s.asked%s.failOneOf == 0
+	s.failCounter++
+	return s.failCounter%s.failOneOf == 0
 }
 
-// work returns how long a statement takes.
+// work returns the duration of a statement.
 func (s *Server) work() time.Duration {
 	defer s.lock()()
 	return time.Duration(max(1, s.slowdown)) * s.group.settings.Work
 }
 
-// SetBusy makes the server refuse all that takes a slot until a time.
+// SetBusy makes the server reject all operations that take a slot until a time.
 func (s *Server) SetBusy(until time.Time) {
 	defer s.lock()()
 	s.busyUntil = until
 }
 
-// Drain announces the server's end; Leave ends it.
+// Drain announces that the server is going to leave, see Leave.
 func (s *Server) Drain() {
 	defer s.lock()()
 	s.draining = true
 	s.group.announce(s)
 }
 
-// Leave ends a drained server for good.
+// Leave ends a drained server. It doesn't return.
 func (s *Server) Leave() {
 	defer s.lock()()
 	s.up = false
@@ -194,19 +197,20 @@
 
 func (s *Server) dropSessions() {
 	for session := range s.sessions {
-		session.breakOff()
+		session.disconnect()
 	}
 	clear(s.sessions)
 }
 
-// leads reports whether the server acts as the primary; the lock is held.
-func (s *Server) leads() bool {
+// isPrimary reports whether the server acts as the primary, also after it was replaced. The lock
+// must be held.
+func (s *Server) isPrimary() bool {
 	return s.lingering || (s == s.group.primary && !s.steppedDown)
 }
 
-// stepDown makes a primary of a lower term a replica; the lock is held.
+// stepDown makes the server a replica if it is the primary of a lower term. The lock must be held.
 func (s *Server) stepDown(term uint64) {
-	if !s.leads() || term <= s.ledTerm {
+	if !s.isPrimary() || term <= s.primaryTerm {
 		return
 	}
 	if s.lingering {
@@ -217,44 +221,44 @@
 	s.group.announce(s)
 }
 
-// term returns the term the server is in; the lock is held.
+// term returns the server's current term. The lock must be held.
 func (s *Server) term() uint64 {
 	if s.lingering {
-		return s.ledTerm
+		return s.primaryTerm
 	}
 	return s.group.term
 }
 
-// receives reports whether replication reaches the server; the lock is held.
-func (s *Server) receives() bool { return s.up && !s.deaf && !s.held }
+// receives reports whether the server receives replication. The lock must be held.
+func (s *Server) receives() bool { return s.up && !s.receiveBlocked && !s.replicationHeld }
 
-// holds reports whether the server's log has an entry; the lock is held.
+// holds reports whether the server's log has the entry at a position. The lock must be held.
 func (s *Server) holds(at position.Position) bool {
 	return at.Offset == 0 || (at.Offset <= uint64(len(s.log)) && s.log[at.Offset-1].at == at)
 }
 
-// hasApplied reports whether the server has applied a position; the lock is held.
+// hasApplied reports whether the server has applied a position. The lock must be held.
 func (s *Server) hasApplied(at position.Position) bool {
 	return at.Offset <= uint64(s.applied) && s.holds(at)
 }
 
-// truncate removes what the new primary's log lacks; the lock is held.
+// truncate removes the entries that the new primary's log doesn't have. The lock must be held.
 func (s *Server) truncate(primary *Server) {
 	kept := 0
 	for kept < len(s.log) && kept < len(primary.log) && s.log[kept].at == primary.log[kept].at {
 		kept++
 	}
 	if kept < len(s.log) {
-		s.busyUntil = time.Now().Add(rollBackTime)
+		s.busyUntil = time.Now().Add(rollbackDuration)
 	}
 	s.log = s.log[:kept:kept]
 	s.applied = min(s.applied, kept)
 }
 
-// rollBackTime is how long a server is busy after it has rolled back.
-const rollBackTime = 50 * time.Millisecond
+// rollbackDuration is how long a server stays busy after it rolled back entries.
+const rollbackDuration = 50 * time.Millisecond
 
-// position returns what the server has applied; the lock is held.
+// position returns the position up to which the server has applied the log. The lock must be held.
 func (s *Server) position() position.Position {
 	if s.applied == 0 {
 		return position.Position{Term: 1}
@@ -271,16 +275,16 @@
 
 func (s *Server) status() *upstream.Status {
 	return &upstream.Status{
-		Primary: s.leads(), Term: s.term(), Received: s.received(),
+		Primary: s.isPrimary(), Term: s.term(), Received: s.received(),
 		Busy: s.running, Connections: len(s.sessions),
 	}
 }
 
-// value returns a thing's newest value in the applied log; the lock is held.
-func (s *Server) value(thing string) string {
+// value returns the newest value of a key in the applied log. The lock must be held.
+func (s *Server) value(key string) string {
 	for i := s.applied - 1; i >= 0; i-- {
 		for _, each := range s.log[i].writes {
-			if each.thing == thing {
+			if each.key == key {
 				return each.data
 			}
 		}
--- a/internal/lab/standin/managed/session.go
+++ b/internal/lab/standin/managed/session.go
@@ -19,7 +19,7 @@
 type Dialer struct {
 	// Groups holds the groups by service.
 	Groups map[string]*Group
-	// Reach, if set, reports whether the node may reach a server.
+	// Reach, if set, reports whether the node can reach a server.
 	Reach func(serverID string) bool
 }
 
@@ -56,25 +56,25 @@
 	return session, server.position(), nil
 }
 
-// Session is a connection to a server; it implements upstream.Connection.
+// Session is a connection to a server. It implements upstream.Connection.
 type Session struct {
 	server    *Server
 	principal upstream.Principal
-	reach     func() bool
+	canReach  func() bool
 
 	requests chan upstream.Operation
 	answers  chan answer
 	broken   chan struct{}
 	once     sync.Once
 
-	// The rest is used by the serving goroutine.
+	// The following fields are used by the goroutine of serve only.
 	values   map[string]string
 	prepared map[string]command.PreparedStatement
 	state    upstream.TransactionState
 	readOnly bool
 	term     uint64
 	writes   []write
-	// ran is set once a statement of the open transaction ran.
+	// ran reports whether a statement of the open transaction ran.
 	ran bool
 }
 
@@ -83,12 +83,12 @@
 	lost   bool
 }
 
-// sessionBacklog bounds the operations sent ahead on a connection.
+// sessionBacklog is the number of operations and answers that a connection can buffer.
 const sessionBacklog = 64
 
-func newSession(server *Server, principal upstream.Principal, reach func() bool) *Session {
+func newSession(server *Server, principal upstream.Principal, canReach func() bool) *Session {
 	session := &Session{
-		server: server, principal: principal, reach: reach,
+		server: server, principal: principal, canReach: canReach,
 		requests: make(chan upstream.Operation, sessionBacklog), answers: make(chan answer, sessionBacklog),
 		broken: make(chan struct{}), values: map[string]string{}, prepared: map[string]command.PreparedStatement{},
 	}
@@ -96,7 +96,7 @@
 	return session
 }
 
-func (s *Session) breakOff() { s.once.Do(func() { close(s.broken) }) }
+func (s *Session) disconnect() { s.once.Do(func() { close(s.broken) }) }
 
 // Send implements upstream.Connection.
 func (s *Session) Send(operations []upstream.Operation, _ time.Time) error {
@@ -143,7 +143,7 @@
 
 // Close implements upstream.Connection.
 func (s *Session) Close() {
-	s.breakOff()
+	s.disconnect()
 	defer s.server.lock()()
 	delete(s.server.sessions, s)
 }
@@ -155,12 +155,12 @@
 			return
 		case operation := <-s.requests:
 			time.Sleep(s.server.group.settings.NetworkDelay)
-			if !s.awaitReach() {
+			if !s.awaitReachable() {
 				return
 			}
 			result, lost := s.run(&operation)
 			time.Sleep(s.server.group.settings.NetworkDelay)
-			if !s.awaitReach() {
+			if !s.awaitReachable() {
 				return
 			}
 			s.answers <- answer{result, lost}
@@ -168,22 +168,22 @@
 	}
 }
 
-// cutCheck is the pause between looks at a cut.
-const cutCheck = 10 * time.Millisecond
+// reachCheckInterval is the interval of checking whether the server is reachable again.
+const reachCheckInterval = 10 * time.Millisecond
 
-// awaitReach waits while a cut holds messages up.
-func (s *Session) awaitReach() bool {
+// awaitReachable waits while the server is unreachable and returns false if the connection broke.
+func (s *Session) awaitReachable() bool {
 	for {
 		s.server.group.mutex.Lock()
 		open := s.server.reachable
 		s.server.group.mutex.Unlock()
-		if open && s.reach() {
+		if open && s.canReach() {
 			return s.alive()
 		}
 		select {
 		case <-s.broken:
 			return false
-		case <-time.After(cutCheck):
+		case <-time.After(reachCheckInterval):
 		}
 	}
 }
@@ -197,7 +197,7 @@
 	}
 }
 
-// run runs an operation and reports whether its answer is lost.
+// run executes an operation and reports whether its answer is lost.
 func (s *Session) run(operation *upstream.Operation) (upstream.Result, bool) {
 	if takesSlot(operation.Kind) {
 		if !s.takeSlot() {
@@ -222,8 +222,8 @@
 	return result, lost
 }
 
-// takesSlot tells the operations that take a slot: callers' work, and two kinds of
-// questions that only nodes ask.
+// takesSlot reports whether an operation takes a slot: callers' work, and the status requests of
+// nodes.
 func takesSlot(kind upstream.OperationKind) bool {
 	return kind.UsesSlot() || kind.ReportsStatus()
 }
@@ -257,17 +257,17 @@
 	return s.result(upstream.Busy)
 }
 
-// result is an operation's answer; the lock is held.
+// result returns the answer to an operation. The lock must be held.
 func (s *Session) result(outcome upstream.Outcome) upstream.Result {
 	return upstream.Result{Outcome: outcome, State: s.state, Position: s.server.position()}
 }
 
-// apply runs an operation; the lock is held.
+// apply executes an operation. The lock must be held.
 func (s *Session) apply(operation *upstream.Operation) upstream.Result {
 	if s.state == upstream.FailedTransaction && operation.Kind != upstream.Rollback {
 		return s.result(upstream.Rejected)
 	}
-	isPrimary := s.server.leads()
+	primary := s.server.isPrimary()
 	switch operation.Kind {
 	case upstream.ResetSession:
 		clear(s.values)
@@ -277,10 +277,10 @@
 	case upstream.PrepareStatement:
 		s.prepared[operation.Name] = operation.Definition
 	case upstream.Begin:
-		if !isPrimary {
+		if !primary {
 			return s.result(upstream.NotPrimary)
 		}
-		s.state, s.readOnly, s.term = upstream.InTransaction, false, s.server.ledTerm
+		s.state, s.readOnly, s.term = upstream.InTransaction, false, s.server.primaryTerm
 	case upstream.BeginReadOnly:
 		if !s.server.hasApplied(operation.Floor) {
 			return s.result(upstream.Behind)
@@ -296,14 +296,14 @@
 		if operation.Kind == upstream.StepDown {
 			s.server.stepDown(operation.Term)
 		}
-		if operation.Kind == upstream.HoldReplication && !isPrimary {
-			s.server.held = true
+		if operation.Kind == upstream.HoldReplication && !primary {
+			s.server.replicationHeld = true
 		}
 		result := s.result(upstream.Succeeded)
 		result.Status = s.server.status()
 		return result
 	case upstream.ResumeReplication:
-		s.server.held = false
+		s.server.replicationHeld = false
 		s.server.group.replicateTo(s.server)
 	}
 	return s.result(upstream.Succeeded)
@@ -313,15 +313,17 @@
 	s.state, s.writes, s.ran = upstream.Idle, nil, false
 }
 
-// leads reports whether a transaction of the primary still runs on it.
-func (s *Session) leads() bool {
-	return s.server.leads() && s.term == s.server.ledTerm
+// stillPrimary reports whether the server is still the primary of the term in which the open
+// transaction began.
+func (s *Session) stillPrimary() bool {
+	return s.server.isPrimary() && s.term == s.server.primaryTerm
 }
 
-// commitWrites appends writes to the log of a server that leads; the lock is held.
+// commitWrites appends writes to the log of a server that acts as the primary. The lock must be
+// held.
 func (s *Session) commitWrites(writes []write) {
 	if s.server.lingering {
-		s.server.group.commitAside(s.server, writes)
+		s.server.group.commitOnReplaced(s.server, writes)
 		return
 	}
 	s.awaitReplicas(s.server.group.commit(writes))
@@ -332,7 +334,7 @@
 		return s.result(upstream.Rejected)
 	}
 	writes := s.writes
-	if len(writes) > 0 && !s.leads() {
+	if len(writes) > 0 && !s.stillPrimary() {
 		s.end()
 		return s.result(upstream.NotPrimary)
 	}
@@ -345,8 +347,8 @@
 	return result
 }
 
-// awaitReplicas waits until enough replicas have received a commit; the lock is
-// held, and given up while it waits. If the server is replaced meanwhile, the
+// awaitReplicas waits until enough replicas have received a commit. The lock must be held and is
+// released while waiting. If the server is replaced before, the connection breaks, so that the
 // commit is never answered.
 func (s *Session) awaitReplicas(at position.Position) {
 	group := s.server.group
@@ -356,11 +358,11 @@
 		group.mutex.Lock()
 	}
 	if group.received(at) < group.settings.SynchronousReplicas {
-		s.breakOff()
+		s.disconnect()
 	}
 }
 
-// statement runs a caller's read or write: "READ thing" or "WRITE thing data".
+// statement executes a caller's read ("READ key") or write ("WRITE key data").
 func (s *Session) statement(operation *upstream.Operation) upstream.Result {
 	statement := operation.Statement
 	text := statement.Text
@@ -375,16 +377,16 @@
 		}
 	}
 	_, arguments, _ := strings.Cut(text, " ")
-	thing, data, _ := strings.Cut(arguments, " ")
-	inPlain := s.state == upstream.InTransaction && !s.readOnly
-	if inPlain && !s.leads() {
+	key, data, _ := strings.Cut(arguments, " ")
+	readWrite := s.state == upstream.InTransaction && !s.readOnly
+	if readWrite && !s.stillPrimary() {
 		s.state = upstream.FailedTransaction
 		return s.result(upstream.NotPrimary)
 	}
 	if !statement.Writes && !s.server.hasApplied(operation.Floor) {
 		return s.result(upstream.Behind)
 	}
-	if statement.Writes && !s.writable(inPlain) {
+	if statement.Writes && !s.writable(readWrite) {
 		return s.result(upstream.NotPrimary)
 	}
 	if s.server.fails() {
@@ -393,32 +395,32 @@
 	s.server.group.observer.StatementRan(Run{RequestID: operation.RequestID, Principal: s.principal, At: time.Now(), First: !s.ran})
 	s.ran = s.state == upstream.InTransaction
 	if statement.Writes {
-		return s.write(write{requestID: operation.RequestID, thing: thing, data: data}, inPlain)
+		return s.write(write{requestID: operation.RequestID, key: key, data: data}, readWrite)
 	}
 	s.server.group.observer.ReadRan(operation.RequestID, time.Now(), s.server.hasApplied)
 	result := s.result(upstream.Succeeded)
-	result.Rows = [][]byte{[]byte(s.server.value(thing)), []byte(sessionValues(s.values))}
+	result.Rows = [][]byte{[]byte(s.server.value(key)), []byte(sessionValues(s.values))}
 	result.Signature = operation.RequestID
 	return result
 }
 
-// writable reports whether a write may run.
-func (s *Session) writable(inPlain bool) bool {
-	return s.server.leads() && (s.state != upstream.InTransaction || inPlain)
+// writable reports whether a write is allowed.
+func (s *Session) writable(readWrite bool) bool {
+	return s.server.isPrimary() && (s.state != upstream.InTransaction || readWrite)
 }
 
-func (s *Session) write(made write, inPlain bool) upstream.Result {
-	if inPlain {
-		s.writes = append(s.writes, made)
+func (s *Session) write(added write, readWrite bool) upstream.Result {
+	if readWrite {
+		s.writes = append(s.writes, added)
 	} else {
-		s.commitWrites([]write{made})
+		s.commitWrites([]write{added})
 	}
 	result := s.result(upstream.Succeeded)
-	result.Signature = made.requestID
+	result.Signature = added.requestID
 	return result
 }
 
-// sessionValues writes session values in a fixed order.
+// sessionValues formats session values in a fixed order.
 func sessionValues(values map[string]string) string {
 	var text strings.Builder
 	for _, name := range slices.Sorted(maps.Keys(values)) {
--- a/internal/lab/standin/managed/session_test.go
+++ b/internal/lab/standin/managed/session_test.go
@@ -15,23 +15,22 @@
 	"dewknot/internal/proxy/upstream"
 )
 
-type silentObserver struct{}
+type noopObserver struct{}
 
-func (silentObserver) StatementRan(managed.Run)                                {}
-func (silentObserver) ReadRan(string, time.Time, func(position.Position) bool) {}
-func (silentObserver) WritesCommitted([]string, position.Position)             {}
-func (silentObserver) RolledBack(position.Position)                            {}
-func (silentObserver) CommittedAside([]string)                                 {}
+func (noopObserver) StatementRan(managed.Run)                                {}
+func (noopObserver) ReadRan(string, time.Time, func(position.Position) bool) {}
+func (noopObserver) WritesCommitted([]string, position.Position)             {}
+func (noopObserver) RolledBack(position.Position)                            {}
+func (noopObserver) CommittedAside([]string)                                 {}
 
-// TestRefusalsOfABusyServer asks a busy replica for its status while the
-// primary's commits reach it. The race detector judges it: a refusal carries the
-// position that replication changes.
-func TestRefusalsOfABusyServer(t *testing.T) {
+// TestBusyRejectionsDuringReplication guards against a data race: a rejection carries the position
+// that replication changes at the same time. Only the race detector can see it.
+func TestBusyRejectionsDuringReplication(t *testing.T) {
 	group := managed.NewGroup(managed.Settings{
 		Name: "bookings", Zones: []string{"a", "b"}, Slots: 4, Queue: 4, Connections: 4,
-	}, silentObserver{}, func(managed.Entry) {})
+	}, noopObserver{}, func(managed.Entry) {})
 	dialer := &managed.Dialer{Groups: map[string]*managed.Group{"bookings": group}}
-	ask := func(server *managed.Server, operations func(i int) upstream.Operation) upstream.Result {
+	run := func(server *managed.Server, operations func(i int) upstream.Operation) upstream.Result {
 		connection, _, err := dialer.Dial(context.Background(), upstream.Target{Address: server.ID(), Service: "bookings", Server: server.ID()})
 		must.NoError(t, err)
 		defer connection.Close()
@@ -47,7 +46,7 @@
 	group.Server(1).SetBusy(time.Now().Add(time.Hour))
 	var working sync.WaitGroup
 	working.Go(func() {
-		written := ask(group.Primary(), func(i int) upstream.Operation {
+		written := run(group.Primary(), func(i int) upstream.Operation {
 			return upstream.Operation{Kind: upstream.RunStatement, Statement: &command.Statement{
 				RequestID: fmt.Sprint(i), Writes: true, Text: fmt.Sprintf("WRITE seat %d", i),
 			}}
@@ -55,8 +54,8 @@
 		must.Eq(t, upstream.Succeeded, written.Outcome)
 	})
 	working.Go(func() {
-		refused := ask(group.Server(1), func(int) upstream.Operation { return upstream.Operation{Kind: upstream.ReportStatus} })
-		must.Eq(t, upstream.Busy, refused.Outcome)
+		rejected := run(group.Server(1), func(int) upstream.Operation { return upstream.Operation{Kind: upstream.ReportStatus} })
+		must.Eq(t, upstream.Busy, rejected.Outcome)
 	})
 	working.Wait()
 }
--- a/internal/lab/standin/managed/store.go
+++ b/internal/lab/standin/managed/store.go
@@ -15,7 +15,7 @@
 	"dewknot/internal/proxy/objectstore"
 )
 
-// Kinds of objects that the stand-in uses.
+// Kinds of objects in the store.
 const (
 	ConfigurationKind = "configurations"
 	ServerKind        = "servers"
@@ -26,51 +26,51 @@
 	EvacuationKind    = "evacuations"
 )
 
-// storeDelay is the time of an answer.
-const storeDelay = 4 * time.Millisecond
+// storeLatency is the usual latency of the store.
+const storeLatency = 4 * time.Millisecond
 
 // Store is a durable store of objects.
 type Store struct {
 	mutex sync.Mutex
-	// era rises each time the store comes back from a copy. Objects are kept with the numbers
-	// of their changes alone, which get the present era in answers.
+	// era rises each time the store is restored from a copy. Objects are kept with revision
+	// numbers only; the current era is added in answers.
 	era      uint64
 	revision uint64
 	objects  map[string]map[string]objectstore.Object
 	history  []change
-	copied   *copiedState
-	// forgotten is the newest number whose change is no longer known.
-	forgotten uint64
-	changed   chan struct{}
+	snapshot *storeSnapshot
+	// compactedUpTo is the highest revision number that is no longer in the history.
+	compactedUpTo uint64
+	changed       chan struct{}
 
-	down        bool
-	delay       time.Duration
-	loseAnswers int
-	cut         map[string]bool
-	creations   map[string]int
-	watches     int
+	down           bool
+	delay          time.Duration
+	loseAnswers    int
+	cut            map[string]bool
+	createAttempts map[string]int
+	watches        int
 }
 
-// copiedState is a copy of what the store held.
-type copiedState struct {
+// storeSnapshot is a copy of the store's contents.
+type storeSnapshot struct {
 	revision uint64
 	objects  map[string]map[string]objectstore.Object
 	history  []change
 }
 
-// Copy keeps a copy of the store's present state.
+// Copy keeps a copy of the store's current state for Restore.
 func (s *Store) Copy() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.copied = &copiedState{revision: s.revision, objects: cloneObjects(s.objects), history: slices.Clone(s.history)}
+	s.snapshot = &storeSnapshot{revision: s.revision, objects: cloneObjects(s.objects), history: slices.Clone(s.history)}
 }
 
-// Restore makes the store go on from its last copy, in a new era.
+// Restore returns to the state of the last copy and begins a new era.
 func (s *Store) Restore() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.era++
-	s.revision, s.objects, s.history = s.copied.revision, cloneObjects(s.copied.objects), slices.Clone(s.copied.history)
+	s.revision, s.objects, s.history = s.snapshot.revision, cloneObjects(s.snapshot.objects), slices.Clone(s.snapshot.history)
 	s.wake()
 }
 
@@ -82,13 +82,13 @@
 	return cloned
 }
 
-// placed returns what an answer says of an object: its revision in the present era.
-func (s *Store) placed(object objectstore.Object) objectstore.Object {
-	object.Revision = s.at(object.Revision.Number())
+// withEra returns an object for an answer, with its revision in the current era.
+func (s *Store) withEra(object objectstore.Object) objectstore.Object {
+	object.Revision = s.revisionInEra(object.Revision.Number())
 	return object
 }
 
-func (s *Store) at(number uint64) era.Revision {
+func (s *Store) revisionInEra(number uint64) era.Revision {
 	revision, err := era.New(s.era, number)
 	if err != nil {
 		panic(err)
@@ -105,18 +105,18 @@
 func NewStore() *Store {
 	return &Store{
 		objects: map[string]map[string]objectstore.Object{}, changed: make(chan struct{}),
-		delay: storeDelay, cut: map[string]bool{}, creations: map[string]int{},
+		delay: storeLatency, cut: map[string]bool{}, createAttempts: map[string]int{},
 	}
 }
 
-// Era returns the present era.
+// Era returns the current era.
 func (s *Store) Era() uint64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.era
 }
 
-// SetDown makes the store refuse everything, or answer again.
+// SetDown sets whether the store rejects all calls.
 func (s *Store) SetDown(down bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -124,21 +124,21 @@
 	s.wake()
 }
 
-// SetDelay changes the time of an answer.
+// SetDelay sets the latency of the store.
 func (s *Store) SetDelay(delay time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.delay = delay
 }
 
-// LoseAnswers makes the next changes be done without an answer.
+// LoseAnswers makes the store apply the next changes without answering.
 func (s *Store) LoseAnswers(count int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.loseAnswers = count
 }
 
-// SetCut cuts one node off from the store, or heals the cut.
+// SetCut sets whether a node is cut off from the store.
 func (s *Store) SetCut(node string, cut bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -146,15 +146,15 @@
 	s.wake()
 }
 
-// Forget drops the history of changes.
+// Forget drops the history, so that older watches fail.
 func (s *Store) Forget() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.history, s.forgotten = nil, s.revision
+	s.history, s.compactedUpTo = nil, s.revision
 	s.wake()
 }
 
-// Put stores an object whatever its revision, as the platform's own parts do.
+// Put stores an object without a condition on its revision, as the platform itself does.
 func (s *Store) Put(kind, name string, value any) {
 	content, err := json.Marshal(value)
 	if err != nil {
@@ -165,7 +165,7 @@
 	s.put(kind, name, content)
 }
 
-// Remove removes an object.
+// Remove removes an object if it exists.
 func (s *Store) Remove(kind, name string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -180,7 +180,7 @@
 	s.wake()
 }
 
-// PublishEntry keeps a server's entry of the directory.
+// PublishEntry stores a server's directory entry, or removes it if the server is gone.
 func (s *Store) PublishEntry(entry Entry) {
 	if entry.Gone {
 		s.Remove(ServerKind, entry.ID)
@@ -201,14 +201,14 @@
 	return object
 }
 
-// Creations returns how often nodes tried to create an object of a kind.
+// Creations returns how many times nodes tried to create an object of a kind.
 func (s *Store) Creations(kind string) int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.creations[kind]
+	return s.createAttempts[kind]
 }
 
-// Watches returns how many watches nodes have begun.
+// Watches returns how many watches nodes have started.
 func (s *Store) Watches() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -227,19 +227,19 @@
 	s.changed = make(chan struct{})
 }
 
-// Client is one node's way to the store; it implements objectstore.Store.
+// Client is one node's client of the store. It implements objectstore.Store.
 type Client struct {
 	store *Store
 	node  string
 }
 
-// Client returns a node's way to the store.
+// Client returns a client for a node.
 func (s *Store) Client(node string) *Client { return &Client{s, node} }
 
 var errDown = &objectstore.Error{Outcome: objectstore.NotDone, Detail: "the store is down"}
 
-// enter waits for the store's answer time; on success the lock is held.
-func (c *Client) enter(ctx context.Context) error {
+// lockStore waits for the store's latency and locks the store. On an error the store isn't locked.
+func (c *Client) lockStore(ctx context.Context) error {
 	c.store.mutex.Lock()
 	delay := c.store.delay
 	c.store.mutex.Unlock()
@@ -269,36 +269,36 @@
 
 // List implements objectstore.Store.
 func (c *Client) List(ctx context.Context, kind string) ([]objectstore.Object, era.Revision, error) {
-	limited, cancel := context.WithTimeout(ctx, callLimit)
+	limited, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	if err := c.enter(limited); err != nil {
+	if err := c.lockStore(limited); err != nil {
 		return nil, 0, err
 	}
 	defer c.store.mutex.Unlock()
 	var objects []objectstore.Object
 	for _, object := range c.store.objects[kind] {
-		objects = append(objects, c.store.placed(object))
+		objects = append(objects, c.store.withEra(object))
 	}
 	slices.SortFunc(objects, func(first, second objectstore.Object) int { return strings.Compare(first.Name, second.Name) })
-	return objects, c.store.at(c.store.revision), nil
+	return objects, c.store.revisionInEra(c.store.revision), nil
 }
 
-// callLimit bounds a call that brings no deadline of its own.
-const callLimit = 1500 * time.Millisecond
+// callTimeout is the timeout of a call.
+const callTimeout = 1500 * time.Millisecond
 
 // Watch implements objectstore.Store.
 func (c *Client) Watch(ctx context.Context, kind string, after era.Revision, wait time.Duration) ([]objectstore.Object, era.Revision, error) {
-	limited, cancel := context.WithTimeout(ctx, wait+callLimit)
+	limited, cancel := context.WithTimeout(ctx, wait+callTimeout)
 	defer cancel()
 	end := time.Now().Add(wait)
 	c.store.mutex.Lock()
 	c.store.watches++
 	c.store.mutex.Unlock()
 	for {
-		if err := c.enter(limited); err != nil {
+		if err := c.lockStore(limited); err != nil {
 			return nil, 0, err
 		}
-		if number := after.Number(); number < c.store.forgotten || number > c.store.revision {
+		if number := after.Number(); number < c.store.compactedUpTo || number > c.store.revision {
 			current := c.store.era
 			c.store.mutex.Unlock()
 			return nil, 0, &objectstore.Error{Outcome: objectstore.HistoryGone, Era: current}
@@ -306,10 +306,10 @@
 		var events []objectstore.Object
 		for _, each := range c.store.history {
 			if each.kind == kind && each.object.Revision.Number() > after.Number() {
-				events = append(events, c.store.placed(each.object))
+				events = append(events, c.store.withEra(each.object))
 			}
 		}
-		revision, changed := c.store.at(c.store.revision), c.store.changed
+		revision, changed := c.store.revisionInEra(c.store.revision), c.store.changed
 		c.store.mutex.Unlock()
 		if len(events) > 0 || !time.Now().Before(end) {
 			return events, revision, nil
@@ -325,7 +325,7 @@
 
 // Get implements objectstore.Store.
 func (c *Client) Get(ctx context.Context, kind, name string) (objectstore.Object, error) {
-	if err := c.enter(ctx); err != nil {
+	if err := c.lockStore(ctx); err != nil {
 		return objectstore.Object{}, err
 	}
 	defer c.store.mutex.Unlock()
@@ -333,7 +333,7 @@
 	if !found {
 		return object, &objectstore.Error{Outcome: objectstore.NotFound, Era: c.store.era}
 	}
-	return c.store.placed(object), nil
+	return c.store.withEra(object), nil
 }
 
 // GetStale implements objectstore.Store.
@@ -344,7 +344,7 @@
 // Create implements objectstore.Store.
 func (c *Client) Create(ctx context.Context, kind, name string, content []byte) (objectstore.Object, error) {
 	c.store.mutex.Lock()
-	c.store.creations[kind]++
+	c.store.createAttempts[kind]++
 	c.store.mutex.Unlock()
 	return c.change(ctx, kind, name, content, func(_ objectstore.Object, found bool) bool { return !found })
 }
@@ -358,7 +358,7 @@
 
 // Delete implements objectstore.Store.
 func (c *Client) Delete(ctx context.Context, kind, name string, revision era.Revision) (uint64, error) {
-	if err := c.enter(ctx); err != nil {
+	if err := c.lockStore(ctx); err != nil {
 		return 0, err
 	}
 	object, found := c.store.objects[kind][name]
@@ -375,7 +375,7 @@
 }
 
 func (c *Client) change(ctx context.Context, kind, name string, content []byte, allowed func(objectstore.Object, bool) bool) (objectstore.Object, error) {
-	if err := c.enter(ctx); err != nil {
+	if err := c.lockStore(ctx); err != nil {
 		return objectstore.Object{}, err
 	}
 	object, found := c.store.objects[kind][name]
@@ -384,7 +384,7 @@
 		c.store.mutex.Unlock()
 		return object, &objectstore.Error{Outcome: objectstore.Conflict, Era: current}
 	}
-	object = c.store.placed(c.store.put(kind, name, content))
+	object = c.store.withEra(c.store.put(kind, name, content))
 	lost := c.store.loseAnswers > 0
 	if lost {
 		c.store.loseAnswers--
@@ -397,7 +397,7 @@
 	return object, nil
 }
 
-// Decoder reads the stand-in's objects.
+// Decoder decodes the objects of the store.
 type Decoder struct{}
 
 // Configuration implements network.Decoder.
@@ -421,15 +421,15 @@
 	return server, err
 }
 
-// Promoter takes orders to promote.
+// Promoter accepts promotion orders.
 type Promoter struct {
-	Groups map[string]*Group
-	mutex  sync.Mutex
-	late   time.Duration
-	orders []PromotionOrder
+	Groups     map[string]*Group
+	mutex      sync.Mutex
+	orderDelay time.Duration
+	orders     []PromotionOrder
 }
 
-// PromotionOrder is an order as the platform saw it.
+// PromotionOrder is an order as received by the platform.
 type PromotionOrder struct {
 	Service string
 	Server  string
@@ -437,14 +437,14 @@
 	Token   uint64
 }
 
-// SetLate makes orders be carried out late and without an answer; 0 ends it.
-func (p *Promoter) SetLate(late time.Duration) {
+// SetLate makes the platform execute orders after a delay and without an answer. 0 ends the fault.
+func (p *Promoter) SetLate(orderDelay time.Duration) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.late = late
+	p.orderDelay = orderDelay
 }
 
-// Orders returns all orders given.
+// Orders returns all received orders.
 func (p *Promoter) Orders() []PromotionOrder {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -453,15 +453,15 @@
 
 // Promote implements backends.Promoter.
 func (p *Promoter) Promote(ctx context.Context, service, server, holder string, token uint64) failover.PromotionOutcome {
-	time.Sleep(storeDelay)
+	time.Sleep(storeLatency)
 	p.mutex.Lock()
 	p.orders = append(p.orders, PromotionOrder{service, server, holder, token})
-	late := p.late
+	orderDelay := p.orderDelay
 	p.mutex.Unlock()
 	group := p.Groups[service]
-	group.arrive(token)
-	if late > 0 {
-		time.AfterFunc(late, func() { group.Order(server, token) })
+	group.recordToken(token)
+	if orderDelay > 0 {
+		time.AfterFunc(orderDelay, func() { group.Order(server, token) })
 		<-ctx.Done()
 		return failover.Unanswered
 	}
