--- a/internal/lab/standin/database/client.go
+++ b/internal/lab/standin/database/client.go
@@ -12,7 +12,7 @@
 	"github.com/pkg/errors"
 )
 
-// Client calls a group's control address.
+// Client is a client of a group's control address.
 type Client struct {
 	base string
 	http *http.Client
@@ -46,13 +46,13 @@
 	return errors.Wrap(json.Unmarshal(body, target), "decode answer")
 }
 
-// SetFault begins or ends a fault on a server, given by number or as "primary".
+// SetFault begins or ends a fault on a server, given by its number or "primary".
 func (c *Client) SetFault(server string, fault Fault, on bool, amount time.Duration) error {
 	values := url.Values{"server": {server}, "kind": {string(fault)}, "on": {fmt.Sprint(on)}, "amount": {amount.String()}}
 	return c.call(http.MethodPost, "/fault?"+values.Encode(), nil)
 }
 
-// Leader returns the primary of the highest term, or -1.
+// Leader returns the index of the primary with the highest term, or -1, and the number of servers.
 func (c *Client) Leader() (int, int, error) {
 	var rows []serverStatus
 	if err := c.call(http.MethodGet, "/status", &rows); err != nil {
--- a/internal/lab/standin/database/control.go
+++ b/internal/lab/standin/database/control.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// serverStatus is one server's row in the answer to GET /status.
+// serverStatus is the status of a server in the response to GET /status.
 type serverStatus struct {
 	Address     string `json:"address"`
 	Role        string `json:"role"`
@@ -18,8 +18,8 @@
 	WorkStarted int64  `json:"work_started"`
 }
 
-// Handler serves the control address: POST /fault?server=0&kind=cut&on=true&amount=2s,
-// GET /status and GET /log?server=0.
+// Handler returns the HTTP handler of the control address. It serves
+// POST /fault?server=0&kind=cut&on=true&amount=2s, GET /status and GET /log?server=0.
 func (g *Group) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /fault", g.serveFault)
--- a/internal/lab/standin/database/engine.go
+++ b/internal/lab/standin/database/engine.go
@@ -1,9 +1,8 @@
-// Package database is the stand-in for a database group in tests and demos.
+// Package database simulates a group of database servers for tests and demos.
 //
-// A group of servers speaks the PostgreSQL protocol, keeps its data in an
-// embedded SQL engine, replicates committed statements between its servers and
-// elects a new primary when the old one is lost. Faults are caused by calls to
-// its control address. It is not meant to hold data that matters.
+// The servers speak the PostgreSQL protocol and keep their data in an embedded SQL engine. They
+// replicate committed statements and elect a new primary when the old one fails. Faults are
+// injected over HTTP at the control address. Data is kept in memory only.
 package database
 
 import (
@@ -28,14 +27,14 @@
 // transactionLog is the payload of a log entry.
 type transactionLog []loggedStatement
 
-// databaseNumber keeps the names of in-memory databases apart.
-var databaseNumber atomic.Int64
+// lastDatabaseNumber makes the names of in-memory databases unique.
+var lastDatabaseNumber atomic.Int64
 
-// engine is one server's SQL state. Statements hold mu shared, commits hold it
-// exclusively, so that the SQL engine never finds its file busy.
+// engine is the SQL state of a server. Statements take mu for reading and commits take it for
+// writing, so that the SQL engine never reports a busy database.
 type engine struct {
 	mu    sync.RWMutex
-	write chan struct{} // one token: the right to have uncommitted writes
+	write chan struct{} // semaphore of one: only one session may have uncommitted writes
 	db    *sql.DB
 	apply *sql.Conn
 }
@@ -46,7 +45,7 @@
 }
 
 func (e *engine) open() error {
-	name := fmt.Sprintf("file:/standin%d?vfs=memdb&_pragma=busy_timeout(2000)", databaseNumber.Add(1))
+	name := fmt.Sprintf("file:/standin%d?vfs=memdb&_pragma=busy_timeout(2000)", lastDatabaseNumber.Add(1))
 	db, err := sql.Open("sqlite", name)
 	if err != nil {
 		return errors.Wrap(err, "open in-memory database")
@@ -59,7 +58,7 @@
 	return nil
 }
 
-// rebuild discards all data.
+// rebuild replaces the database by an empty one.
 func (e *engine) rebuild() error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -67,7 +66,7 @@
 	return e.open()
 }
 
-// applyTransaction runs the statements of a replicated transaction.
+// applyTransaction executes a replicated transaction.
 func (e *engine) applyTransaction(statements transactionLog) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -85,8 +84,7 @@
 	return errors.Wrap(err, "commit replicated transaction")
 }
 
-// Object identifiers of the column types that the stand-in knows
-// (PostgreSQL's pg_type catalogue).
+// Object identifiers of the supported column types (PostgreSQL's pg_type catalog).
 const (
 	oidBool  = 16
 	oidBytea = 17
@@ -95,20 +93,20 @@
 	oidFloat = 701
 )
 
-// column describes one column of an answer.
+// column describes a column of a result.
 type column struct {
 	Name string
 	OID  uint32
 }
 
-// answer is the result of one statement.
-type answer struct {
+// resultSet is the result of a statement.
+type resultSet struct {
 	Columns  []column
 	Rows     [][]any
 	Affected int64
 }
 
-var countLike = regexp.MustCompile(`(?i)^(count|sum|length|max|min)\b|^\d+$`)
+var integerNamePattern = regexp.MustCompile(`(?i)^(count|sum|length|max|min)\b|^\d+$`)
 
 func columnsOf(rows *sql.Rows) ([]column, error) {
 	types, err := rows.ColumnTypes()
@@ -133,15 +131,15 @@
 		return oidBool
 	case strings.Contains(declared, "BLOB"), strings.Contains(declared, "BYTEA"):
 		return oidBytea
-	case declared == "" && countLike.MatchString(columnType.Name()):
+	case declared == "" && integerNamePattern.MatchString(columnType.Name()):
 		return oidInt8
 	default:
 		return oidText
 	}
 }
 
-// query runs a statement that yields rows.
-func query(ctx context.Context, conn *sql.Conn, text string, args []any) (*answer, error) {
+// query executes a statement that returns rows.
+func query(ctx context.Context, conn *sql.Conn, text string, args []any) (*resultSet, error) {
 	rows, err := conn.QueryContext(ctx, text, args...)
 	if err != nil {
 		return nil, err
@@ -151,7 +149,7 @@
 	if err != nil {
 		return nil, err
 	}
-	result := &answer{Columns: columns}
+	result := &resultSet{Columns: columns}
 	for rows.Next() {
 		values := make([]any, len(columns))
 		targets := make([]any, len(columns))
@@ -166,21 +164,21 @@
 	return result, rows.Err()
 }
 
-// execute runs a statement that yields no rows.
-func execute(ctx context.Context, conn *sql.Conn, text string, args []any) (*answer, error) {
+// execute executes a statement that returns no rows.
+func execute(ctx context.Context, conn *sql.Conn, text string, args []any) (*resultSet, error) {
 	result, err := conn.ExecContext(ctx, text, args...)
 	if err != nil {
 		return nil, err
 	}
 	affected, err := result.RowsAffected()
-	return &answer{Affected: affected}, err
+	return &resultSet{Affected: affected}, err
 }
 
-// parameterPattern finds $1 outside of what dollarToQuestion skips.
+// parameterPattern matches string literals and parameters such as $1. Only parameters have a group.
 var parameterPattern = regexp.MustCompile(`'(?:[^']|'')*'|\$(\d+)`)
 
-// dollarToQuestion rewrites PostgreSQL parameters ($1) to the engine's (?1).
-func dollarToQuestion(text string) string {
+// convertParameters replaces PostgreSQL parameters ($1) by those of the engine (?1).
+func convertParameters(text string) string {
 	if !strings.Contains(text, "$") {
 		return text
 	}
--- a/internal/lab/standin/database/extended.go
+++ b/internal/lab/standin/database/extended.go
@@ -58,7 +58,8 @@
 	return nil
 }
 
-// formatAt returns a value's format code by the protocol's rule for short lists.
+// formatAt returns the format code of a value. No code means text, a single code applies to all
+// values.
 func formatAt(codes []int16, index int) int16 {
 	switch {
 	case len(codes) == 0:
@@ -123,11 +124,11 @@
 	return nil
 }
 
-// returningPattern finds the table and the returned columns of a write.
+// returningPattern matches the table and the RETURNING list of a write.
 var returningPattern = regexp.MustCompile(`(?is)^\s*(?:INSERT\s+INTO|UPDATE|DELETE\s+FROM)\s+(\w+).*\bRETURNING\s+(.*)$`)
 
-// columns finds a statement's columns without running it: a read is asked for
-// no rows, a write's RETURNING list is asked of its table.
+// columns returns the columns of a statement without running it. It queries a read, or the
+// RETURNING list of a write, with LIMIT 0.
 func (c *session) columns(text string) ([]column, *sqlError) {
 	if text == StatusQuery {
 		return c.groupStatus().Columns, nil
@@ -136,7 +137,7 @@
 	if found := returningPattern.FindStringSubmatch(stripComments(text)); found != nil {
 		probe = fmt.Sprintf("SELECT %s FROM %s LIMIT 0", found[2], found[1])
 	} else if info := statement.Classify(text); info.ReadOnly && info.Control == statement.NoControl && !info.Empty {
-		probe = fmt.Sprintf("SELECT * FROM (%s) LIMIT 0", dollarToQuestion(text))
+		probe = fmt.Sprintf("SELECT * FROM (%s) LIMIT 0", convertParameters(text))
 	}
 	if probe == "" {
 		return nil, nil
@@ -149,7 +150,7 @@
 	}
 	result, err := query(context.Background(), conn, probe, make([]any, parameterCount(text)))
 	if err != nil {
-		return nil, translate(context.Background(), err)
+		return nil, toSQLError(context.Background(), err)
 	}
 	return result.Columns, nil
 }
@@ -172,7 +173,7 @@
 	}
 	rows := found.pending.Rows
 	if limit := int(request.MaxRows); limit > 0 && len(rows) > limit {
-		c.sendRows(&answer{Columns: found.pending.Columns, Rows: rows[:limit]}, found.formats)
+		c.sendRows(&resultSet{Columns: found.pending.Columns, Rows: rows[:limit]}, found.formats)
 		found.pending.Rows = rows[limit:]
 		c.send(&pgproto3.PortalSuspended{})
 		return nil
@@ -196,7 +197,7 @@
 	return &pgproto3.RowDescription{Fields: fields}
 }
 
-func (c *session) sendRows(result *answer, formats []int16) {
+func (c *session) sendRows(result *resultSet, formats []int16) {
 	for _, row := range result.Rows {
 		values := make([][]byte, len(row))
 		for index, value := range row {
--- a/internal/lab/standin/database/group.go
+++ b/internal/lab/standin/database/group.go
@@ -13,30 +13,30 @@
 	"dewknot/internal/postgres/replication"
 )
 
-// advanceInterval is how often replication and elections move forward.
+// advanceInterval is how often replication and elections make progress.
 const advanceInterval = 2 * time.Millisecond
 
-// Settings describe a stand-in group.
+// Settings describe a group.
 type Settings struct {
 	// Name is the group's name in logs.
 	Name string
-	// Addresses holds one listening address a server.
+	// Addresses holds the listening address of each server.
 	Addresses []string
-	// ElectionDelay is the group's own time to change its primary.
+	// ElectionDelay is how long the group takes to elect a new primary.
 	ElectionDelay time.Duration
-	// ReceiveDelay is the replication delay to a replica's log.
+	// ReceiveDelay is how long a commit takes to reach a replica's log.
 	ReceiveDelay time.Duration
-	// ConnectCost is the time that a new connection takes to set up.
+	// ConnectCost is how long it takes to open a connection.
 	ConnectCost time.Duration
-	// StatementTime is added to each statement while it holds a slot.
+	// StatementTime is added to the duration of each statement while it holds a slot.
 	StatementTime time.Duration
-	// Connections is the limit of connections a server.
+	// Connections is the maximum number of connections per server.
 	Connections int
-	// Slots is how many statements a server runs at a time.
+	// Slots is how many statements a server runs concurrently.
 	Slots int
 }
 
-// Group is a running stand-in group.
+// Group is a running group. Its methods are safe for concurrent use.
 type Group struct {
 	settings Settings
 	started  time.Time
@@ -55,13 +55,13 @@
 	address  string
 	slots    chan struct{}
 	paused   atomic.Bool
-	// workStarted counts statements begun other than status questions.
+	// workStarted counts the statements that were started, status queries excepted.
 	workStarted atomic.Int64
 	mu          sync.Mutex
 	sessions    map[*session]struct{}
 }
 
-// Start opens the group's listening sockets and begins to serve.
+// Start opens the listening sockets of a group and serves connections until Close is called.
 func Start(settings Settings) (*Group, error) {
 	group := &Group{
 		settings: settings,
@@ -166,14 +166,14 @@
 			return
 		case <-ticker.C:
 			g.mu.Lock()
-			g.carryOut(g.model.Advance(g.now()))
+			g.applyChanges(g.model.Advance(g.now()))
 			g.mu.Unlock()
 		}
 	}
 }
 
-// carryOut applies changes of the model to the servers; g.mu is held.
-func (g *Group) carryOut(changes []replication.Change[transactionLog]) {
+// applyChanges applies changes of the model to the servers. g.mu must be held.
+func (g *Group) applyChanges(changes []replication.Change[transactionLog]) {
 	for _, change := range changes {
 		target := g.servers[change.Server]
 		switch {
@@ -188,16 +188,16 @@
 	}
 }
 
-// must stops the stand-in when its own replication is broken: a divergent
-// replica would make every later check meaningless.
+// must panics if replication within the stand-in fails, because a divergent replica would
+// invalidate all later checks.
 func must(err error) {
 	if err != nil {
 		panic(err)
 	}
 }
 
-// commit appends a transaction to the log and commits it in the engine. It
-// reports false when the server no longer is primary.
+// commit appends a transaction to the log and commits it in the engine. It returns false if the
+// server is no longer the primary.
 func (s *server) commit(log transactionLog, commitEngine func() error) (bool, error) {
 	s.group.mu.Lock()
 	defer s.group.mu.Unlock()
@@ -215,20 +215,20 @@
 	return s.group.model.Report(s.index)
 }
 
-// Fault is a fault that the control address can cause on a server.
+// Fault is a kind of fault that can be injected into a server.
 type Fault string
 
-// The faults.
+// The kinds of faults.
 const (
-	// FaultCut separates the server from its group while it still accepts connections.
+	// FaultCut isolates the server from its group. It still accepts connections.
 	FaultCut Fault = "cut"
-	// FaultPause makes the server stop answering without closing anything.
+	// FaultPause makes the server stop answering without closing connections.
 	FaultPause Fault = "pause"
-	// FaultKill stops the server; ending the fault starts it again.
+	// FaultKill stops the server. Ending the fault restarts it.
 	FaultKill Fault = "kill"
-	// FaultLag delays applying on the server by a duration.
+	// FaultLag delays applying the log on the server by a duration.
 	FaultLag Fault = "lag"
-	// FaultSwitchover makes the server primary by a planned change.
+	// FaultSwitchover makes the server the primary in a planned switchover.
 	FaultSwitchover Fault = "switchover"
 )
 
@@ -244,9 +244,9 @@
 	case FaultKill:
 		return g.kill(target, on)
 	case FaultCut:
-		g.withModel(func() { g.model.SetCut(index, on) })
+		g.updateModel(func() { g.model.SetCut(index, on) })
 	case FaultLag:
-		g.withModel(func() { g.model.SetApplyLag(index, amount) })
+		g.updateModel(func() { g.model.SetApplyLag(index, amount) })
 	case FaultSwitchover:
 		return g.switchover(index)
 	default:
@@ -255,7 +255,7 @@
 	return nil
 }
 
-func (g *Group) withModel(change func()) {
+func (g *Group) updateModel(change func()) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	change()
@@ -268,12 +268,12 @@
 	if !ok {
 		return errors.New("switchover is impossible: the primary or the target is not connected to the group")
 	}
-	g.carryOut(changes)
+	g.applyChanges(changes)
 	return nil
 }
 
 func (g *Group) kill(target *server, on bool) error {
-	g.withModel(func() { g.model.SetDown(target.index, on) })
+	g.updateModel(func() { g.model.SetDown(target.index, on) })
 	if on {
 		target.closeListener()
 		target.closeSessions()
@@ -289,10 +289,10 @@
 	return g.model.Leader()
 }
 
-// WorkStarted returns how many statements a server has begun, status questions aside.
+// WorkStarted returns how many statements a server has started, status queries excepted.
 func (g *Group) WorkStarted(index int) int64 { return g.servers[index].workStarted.Load() }
 
-// LoggedTransaction is a committed transaction in a server's log, for checkers.
+// LoggedTransaction is a committed transaction in a server's log.
 type LoggedTransaction struct {
 	Position   position.Position `json:"position"`
 	Statements []string          `json:"statements"`
@@ -315,7 +315,7 @@
 	return result
 }
 
-// waitWhilePaused blocks as a frozen server does.
+// waitWhilePaused blocks while the server is paused.
 func (s *server) waitWhilePaused(ctx context.Context) {
 	for s.paused.Load() && ctx.Err() == nil {
 		time.Sleep(advanceInterval)
--- a/internal/lab/standin/database/session.go
+++ b/internal/lab/standin/database/session.go
@@ -14,24 +14,24 @@
 	"dewknot/internal/postgres/statement"
 )
 
-// StatusQuery is the question by which a group reports terms and positions.
-// Its columns are role, term, received and applied; positions are term/offset.
+// StatusQuery is the query that reports a server's role, term and positions. Its columns are role,
+// term, received and applied; positions are written as term/offset.
 const StatusQuery = "SELECT role, term, received, applied FROM group_status"
 
-// SQLSTATEs that the stand-in answers with (PostgreSQL, appendix A).
+// SQLSTATE codes (PostgreSQL, appendix A) and the transaction states of ReadyForQuery.
 const (
-	codeReadOnly       = "25006"
-	codeFailed         = "25P02"
-	codeTooMany        = "53300"
-	codeSyntax         = "42601"
-	codeUnique         = "23505"
-	codeCanceled       = "57014"
-	codeCannotConnect  = "57P03"
-	codeUndefinedStmt  = "26000"
-	codeInternal       = "XX000"
-	transactionIdle    = byte('I')
-	transactionOpen    = byte('T')
-	transactionAborted = byte('E')
+	codeReadOnly           = "25006"
+	codeFailedTransaction  = "25P02"
+	codeTooManyConnections = "53300"
+	codeSyntax             = "42601"
+	codeUnique             = "23505"
+	codeCanceled           = "57014"
+	codeCannotConnect      = "57P03"
+	codeUndefinedStmt      = "26000"
+	codeInternal           = "XX000"
+	transactionIdle        = byte('I')
+	transactionOpen        = byte('T')
+	transactionAborted     = byte('E')
 )
 
 // sqlError is an error with an SQLSTATE.
@@ -52,11 +52,11 @@
 	statement prepared
 	args      []any
 	formats   []int16
-	pending   *answer
+	pending   *resultSet
 	tag       string
 }
 
-// session is one client connection to a stand-in server.
+// session is a client's connection to a server.
 type session struct {
 	server  *server
 	conn    net.Conn
@@ -64,15 +64,15 @@
 	sql     *sql.Conn
 	ctx     context.Context
 	cancel  context.CancelFunc
-	// cancelStatement ends the statement that runs now.
-	cancelStatement atomic.Pointer[context.CancelFunc]
-	key             uint32
-	status          byte
-	engineOpen      bool // the engine has an open transaction
-	log             transactionLog
-	statements      map[string]prepared
-	portals         map[string]*portal
-	skipToSync      bool
+	// cancelByKey cancels the running statement, if any.
+	cancelStatement     atomic.Pointer[context.CancelFunc]
+	cancelKey           uint32
+	status              byte
+	inEngineTransaction bool // the engine has an open transaction
+	log                 transactionLog
+	statements          map[string]prepared
+	portals             map[string]*portal
+	discardUntilSync    bool
 }
 
 var sessionKeys atomic.Uint32
@@ -83,13 +83,13 @@
 	defer func() { _ = conn.Close() }()
 	current := &session{
 		server: s, conn: conn, backend: pgproto3.NewBackend(conn, conn), ctx: ctx, cancel: cancel,
-		key: sessionKeys.Add(1), status: transactionIdle, statements: map[string]prepared{}, portals: map[string]*portal{},
+		cancelKey: sessionKeys.Add(1), status: transactionIdle, statements: map[string]prepared{}, portals: map[string]*portal{},
 	}
 	if !current.startup() {
 		return
 	}
 	defer s.remove(current)
-	defer current.closeEngine()
+	defer current.closeEngineConn()
 	for {
 		message, err := current.backend.Receive()
 		if err != nil {
@@ -130,29 +130,29 @@
 				return false
 			}
 		case *pgproto3.CancelRequest:
-			c.server.cancelKey(request.ProcessID)
+			c.server.cancelByKey(request.ProcessID)
 			return false
 		case *pgproto3.StartupMessage:
-			return c.welcome()
+			return c.completeStartup()
 		}
 	}
 }
 
-func (s *server) cancelKey(key uint32) {
+func (s *server) cancelByKey(cancelKey uint32) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for current := range s.sessions {
-		if stop := current.cancelStatement.Load(); current.key == key && stop != nil {
+		if stop := current.cancelStatement.Load(); current.cancelKey == cancelKey && stop != nil {
 			(*stop)()
 		}
 	}
 }
 
-func (c *session) welcome() bool {
+func (c *session) completeStartup() bool {
 	c.server.waitWhilePaused(c.ctx)
 	time.Sleep(c.server.group.settings.ConnectCost)
 	if !c.server.admit(c) {
-		c.send(&pgproto3.ErrorResponse{Severity: "FATAL", Code: codeTooMany, Message: "sorry, too many clients already"})
+		c.send(&pgproto3.ErrorResponse{Severity: "FATAL", Code: codeTooManyConnections, Message: "sorry, too many clients already"})
 		_ = c.backend.Flush()
 		return false
 	}
@@ -161,18 +161,18 @@
 	c.send(&pgproto3.ParameterStatus{Name: "client_encoding", Value: "UTF8"})
 	c.send(&pgproto3.ParameterStatus{Name: "standard_conforming_strings", Value: "on"})
 	c.send(&pgproto3.ParameterStatus{Name: "integer_datetimes", Value: "on"})
-	c.send(&pgproto3.BackendKeyData{ProcessID: c.key, SecretKey: []byte{0, 0, 0, 1}})
-	return c.ready()
+	c.send(&pgproto3.BackendKeyData{ProcessID: c.cancelKey, SecretKey: []byte{0, 0, 0, 1}})
+	return c.sendReady()
 }
 
 func (c *session) send(message pgproto3.BackendMessage) { c.backend.Send(message) }
 
-func (c *session) ready() bool {
+func (c *session) sendReady() bool {
 	c.send(&pgproto3.ReadyForQuery{TxStatus: c.status})
 	return c.backend.Flush() == nil
 }
 
-func (c *session) fail(err *sqlError) {
+func (c *session) sendError(err *sqlError) {
 	c.send(&pgproto3.ErrorResponse{Severity: "ERROR", SeverityUnlocalized: "ERROR", Code: err.code, Message: err.message})
 	if c.status == transactionOpen {
 		c.status = transactionAborted
@@ -183,24 +183,24 @@
 	switch request := message.(type) {
 	case *pgproto3.Query:
 		c.simpleQuery(request.String)
-		return c.ready()
+		return c.sendReady()
 	case *pgproto3.Terminate:
 		return false
 	case *pgproto3.Sync:
-		c.skipToSync = false
+		c.discardUntilSync = false
 		if c.status == transactionIdle {
 			c.portals = map[string]*portal{}
 		}
-		return c.ready()
+		return c.sendReady()
 	case *pgproto3.Flush:
 		return c.backend.Flush() == nil
 	}
-	if c.skipToSync {
+	if c.discardUntilSync {
 		return true
 	}
 	if err := c.extended(message); err != nil {
-		c.fail(err)
-		c.skipToSync = true
+		c.sendError(err)
+		c.discardUntilSync = true
 	}
 	return true
 }
@@ -214,7 +214,7 @@
 	for _, part := range parts {
 		result, tag, err := c.run(part, nil)
 		if err != nil {
-			c.fail(err)
+			c.sendError(err)
 			return
 		}
 		if len(result.Columns) > 0 {
@@ -225,7 +225,7 @@
 	}
 }
 
-// splitStatements cuts a message at semicolons outside quotes and comments.
+// splitStatements splits a simple query at semicolons outside quotes and comments.
 func splitStatements(text string) []string {
 	var parts []string
 	start, quote, comment := 0, byte(0), false
@@ -257,40 +257,40 @@
 	return kept
 }
 
-// run executes one statement and returns its answer and command tag.
-func (c *session) run(text string, args []any) (*answer, string, *sqlError) {
+// run executes a statement and returns its result and command tag.
+func (c *session) run(text string, args []any) (*resultSet, string, *sqlError) {
 	if text == StatusQuery {
 		return c.groupStatus(), "SELECT 1", nil
 	}
 	c.server.workStarted.Add(1)
 	info := statement.Classify(text)
 	if c.status == transactionAborted && info.Control != statement.Commit && info.Control != statement.Rollback {
-		return nil, "", &sqlError{codeFailed, "current transaction is aborted, commands ignored until end of transaction block"}
+		return nil, "", &sqlError{codeFailedTransaction, "current transaction is aborted, commands ignored until end of transaction block"}
 	}
 	switch info.Control {
 	case statement.Begin:
 		c.status = transactionOpen
-		return &answer{}, "BEGIN", nil
+		return &resultSet{}, "BEGIN", nil
 	case statement.Commit:
 		return c.commitTransaction()
 	case statement.Rollback:
 		c.rollback()
-		return &answer{}, "ROLLBACK", nil
+		return &resultSet{}, "ROLLBACK", nil
 	}
 	return c.runInSlot(text, args, info)
 }
 
-func (c *session) groupStatus() *answer {
+func (c *session) groupStatus() *resultSet {
 	report := c.server.report()
 	names := []string{"role", "term", "received", "applied"}
-	result := &answer{Rows: [][]any{{report.Role.String(), fmt.Sprint(report.Term), report.Received.String(), report.Applied.String()}}}
+	result := &resultSet{Rows: [][]any{{report.Role.String(), fmt.Sprint(report.Term), report.Received.String(), report.Applied.String()}}}
 	for _, name := range names {
 		result.Columns = append(result.Columns, column{Name: name, OID: oidText})
 	}
 	return result
 }
 
-func (c *session) runInSlot(text string, args []any, info statement.Info) (*answer, string, *sqlError) {
+func (c *session) runInSlot(text string, args []any, info statement.Info) (*resultSet, string, *sqlError) {
 	ctx, stop := context.WithCancel(c.ctx)
 	defer stop()
 	c.cancelStatement.Store(&stop)
@@ -304,14 +304,14 @@
 			return nil, "", &sqlError{codeCanceled, "canceling statement due to user request"}
 		}
 	}
-	text = dollarToQuestion(text)
+	text = convertParameters(text)
 	if info.ReadOnly {
 		return c.read(ctx, text, args)
 	}
 	return c.writeStatement(ctx, text, args)
 }
 
-func (c *session) read(ctx context.Context, text string, args []any) (*answer, string, *sqlError) {
+func (c *session) read(ctx context.Context, text string, args []any) (*resultSet, string, *sqlError) {
 	c.server.engine.mu.RLock()
 	defer c.server.engine.mu.RUnlock()
 	conn, failure := c.engineConn()
@@ -320,7 +320,7 @@
 	}
 	result, err := query(ctx, conn, text, args)
 	if err != nil {
-		return nil, "", translate(ctx, err)
+		return nil, "", toSQLError(ctx, err)
 	}
 	return result, fmt.Sprintf("SELECT %d", len(result.Rows)), nil
 }
@@ -337,12 +337,12 @@
 	return conn, nil
 }
 
-// writeStatement runs a write, in a transaction of its own unless one is open.
-func (c *session) writeStatement(ctx context.Context, text string, args []any) (*answer, string, *sqlError) {
+// writeStatement executes a write, in a new transaction unless one is open.
+func (c *session) writeStatement(ctx context.Context, text string, args []any) (*resultSet, string, *sqlError) {
 	if c.server.report().Role.String() != "primary" {
 		return nil, "", &sqlError{codeReadOnly, "cannot execute a write in a read-only transaction"}
 	}
-	if err := c.beginEngine(ctx); err != nil {
+	if err := c.beginTransaction(ctx); err != nil {
 		return nil, "", err
 	}
 	result, err := c.executeWrite(ctx, text, args)
@@ -350,7 +350,7 @@
 		if c.status == transactionIdle {
 			c.rollback()
 		}
-		return nil, "", translate(ctx, err)
+		return nil, "", toSQLError(ctx, err)
 	}
 	c.log = append(c.log, loggedStatement{SQL: text, Args: args})
 	tag := writeTag(text, result)
@@ -361,7 +361,7 @@
 	return result, tag, nil
 }
 
-func (c *session) executeWrite(ctx context.Context, text string, args []any) (*answer, error) {
+func (c *session) executeWrite(ctx context.Context, text string, args []any) (*resultSet, error) {
 	c.server.engine.mu.RLock()
 	defer c.server.engine.mu.RUnlock()
 	if strings.Contains(strings.ToUpper(text), "RETURNING") || strings.HasPrefix(strings.ToUpper(text), "SELECT") {
@@ -370,7 +370,7 @@
 	return execute(ctx, c.sql, text, args)
 }
 
-func writeTag(text string, result *answer) string {
+func writeTag(text string, result *resultSet) string {
 	count := result.Affected
 	if len(result.Columns) > 0 {
 		count = int64(len(result.Rows))
@@ -399,8 +399,8 @@
 	}
 }
 
-func (c *session) beginEngine(ctx context.Context) *sqlError {
-	if c.engineOpen {
+func (c *session) beginTransaction(ctx context.Context) *sqlError {
+	if c.inEngineTransaction {
 		return nil
 	}
 	select {
@@ -420,18 +420,18 @@
 		<-c.server.engine.write
 		return failure
 	}
-	c.engineOpen = true
+	c.inEngineTransaction = true
 	return nil
 }
 
-func (c *session) commitTransaction() (*answer, string, *sqlError) {
+func (c *session) commitTransaction() (*resultSet, string, *sqlError) {
 	aborted := c.status == transactionAborted
-	if aborted || !c.engineOpen {
+	if aborted || !c.inEngineTransaction {
 		c.rollback()
 		if aborted {
-			return &answer{}, "ROLLBACK", nil
+			return &resultSet{}, "ROLLBACK", nil
 		}
-		return &answer{}, "COMMIT", nil
+		return &resultSet{}, "COMMIT", nil
 	}
 	ok, err := c.server.commit(c.log, func() error {
 		_, err := c.sql.ExecContext(context.Background(), "COMMIT")
@@ -441,39 +441,39 @@
 		c.rollback()
 		return nil, "", &sqlError{codeReadOnly, "the server is no longer primary; the transaction was rolled back"}
 	}
-	c.endEngine()
+	c.endTransaction()
 	if err != nil {
 		return nil, "", &sqlError{codeInternal, err.Error()}
 	}
-	return &answer{}, "COMMIT", nil
+	return &resultSet{}, "COMMIT", nil
 }
 
-func (c *session) endEngine() {
+func (c *session) endTransaction() {
 	c.status = transactionIdle
 	c.log = nil
-	if c.engineOpen {
-		c.engineOpen = false
+	if c.inEngineTransaction {
+		c.inEngineTransaction = false
 		<-c.server.engine.write
 	}
 }
 
 func (c *session) rollback() {
-	if c.engineOpen {
+	if c.inEngineTransaction {
 		c.server.engine.mu.RLock()
 		_, _ = c.sql.ExecContext(context.Background(), "ROLLBACK")
 		c.server.engine.mu.RUnlock()
 	}
-	c.endEngine()
+	c.endTransaction()
 }
 
-func (c *session) closeEngine() {
+func (c *session) closeEngineConn() {
 	c.rollback()
 	if c.sql != nil {
 		_ = c.sql.Close()
 	}
 }
 
-func translate(ctx context.Context, err error) *sqlError {
+func toSQLError(ctx context.Context, err error) *sqlError {
 	text := err.Error()
 	switch {
 	case ctx.Err() != nil:
