--- a/internal/lab/standin/objectapi/store.go
+++ b/internal/lab/standin/objectapi/store.go
@@ -1,6 +1,5 @@
-// Package objectapi is the stand-in for the platform's object API and machine
-// list. It serves HTTP with JSON bodies and can be made slow, unreachable or
-// forgetful of answers.
+// Package objectapi simulates the platform's object API and machine list. It serves HTTP with JSON
+// bodies. Faults make it slow, unreachable, or drop responses.
 package objectapi
 
 import (
@@ -18,19 +17,19 @@
 
 // Settings describe the stand-in.
 type Settings struct {
-	// Readers is the greatest number of watches at a time.
+	// Readers is the maximum number of concurrent watches.
 	Readers int
-	// ListLag is how far the machine list lags.
+	// ListLag is how far the machine list lags behind changes.
 	ListLag time.Duration
 }
 
-// Store is the stand-in's state.
+// Store holds the objects and machines. Its methods are safe for concurrent use.
 type Store struct {
 	settings Settings
 	mu       sync.Mutex
 	revision uint64
 	objects  map[string]api.Object
-	changed  chan struct{} // closed and replaced at each change
+	changed  chan struct{} // closed and replaced on each change
 	watches  int
 	machines []machineEvent
 	faults   faults
@@ -46,7 +45,7 @@
 type faults struct {
 	down        bool
 	slow        time.Duration
-	loseAnswers int // how many changes take effect without an answer
+	loseAnswers int // how many of the next changes take effect without a response
 }
 
 // NewStore returns an empty store.
@@ -54,10 +53,10 @@
 	return &Store{settings: settings, objects: map[string]api.Object{}, changed: make(chan struct{})}
 }
 
-// maxObjectBytes bounds one object's value.
+// maxObjectBytes limits the size of an object's value.
 const maxObjectBytes = 1 << 20
 
-// Handler serves the object API, the machine list and the fault calls.
+// Handler returns the HTTP handler of the object API, the machine list, faults and status.
 func (s *Store) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /objects/{key...}", s.get)
@@ -90,7 +89,7 @@
 	})
 }
 
-// dropConnection closes the connection without an answer.
+// dropConnection closes the connection without a response.
 func dropConnection(writer http.ResponseWriter) {
 	if hijacker, ok := writer.(http.Hijacker); ok {
 		if conn, _, err := hijacker.Hijack(); err == nil {
@@ -107,7 +106,7 @@
 		http.Error(writer, "no such object", http.StatusNotFound)
 		return
 	}
-	answer(writer, found)
+	writeJSON(writer, found)
 }
 
 func (s *Store) change(writer http.ResponseWriter, request *http.Request) {
@@ -128,14 +127,14 @@
 		http.Error(writer, "version conflict", http.StatusConflict)
 		return
 	}
-	if s.loseThisAnswer() {
+	if s.takeLostAnswer() {
 		dropConnection(writer)
 		return
 	}
-	answer(writer, stored)
+	writeJSON(writer, stored)
 }
 
-func (s *Store) loseThisAnswer() bool {
+func (s *Store) takeLostAnswer() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.faults.loseAnswers == 0 {
@@ -145,7 +144,8 @@
 	return true
 }
 
-// Change performs a conditional update; ok is false on a version conflict.
+// Change updates or deletes an object if its current version equals match. On a version conflict,
+// ok is false and current is the object's version.
 func (s *Store) Change(key string, value json.RawMessage, match uint64, deleted bool) (stored api.Object, current uint64, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -167,7 +167,7 @@
 	return stored, s.revision, true
 }
 
-// since returns the objects changed after a revision, oldest first; s.mu is held.
+// since returns the objects that changed after a revision, oldest first. s.mu must be held.
 func (s *Store) since(revision uint64, prefix string) api.Listing {
 	listing := api.Listing{Revision: s.revision}
 	for _, object := range s.objects {
@@ -183,7 +183,7 @@
 	s.mu.Lock()
 	listing := s.since(0, request.URL.Query().Get("prefix"))
 	s.mu.Unlock()
-	answer(writer, listing)
+	writeJSON(writer, listing)
 }
 
 func (s *Store) watch(writer http.ResponseWriter, request *http.Request) {
@@ -208,13 +208,13 @@
 			return
 		}
 		if len(listing.Objects) > 0 {
-			answer(writer, listing)
+			writeJSON(writer, listing)
 			return
 		}
 		select {
 		case <-changed:
 		case <-timeout:
-			answer(writer, listing)
+			writeJSON(writer, listing)
 			return
 		case <-request.Context().Done():
 			return
@@ -243,7 +243,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.machines = append(s.machines, machineEvent{at: time.Now(), machine: machine, removed: request.Method == http.MethodDelete})
-	answer(writer, machine)
+	writeJSON(writer, machine)
 }
 
 func (s *Store) listMachines(writer http.ResponseWriter, _ *http.Request) {
@@ -262,7 +262,7 @@
 		}
 	}
 	sort.Slice(machines, func(i, j int) bool { return machines[i].ID < machines[j].ID })
-	answer(writer, machines)
+	writeJSON(writer, machines)
 }
 
 func (s *Store) fault(writer http.ResponseWriter, request *http.Request) {
@@ -291,21 +291,21 @@
 	}
 }
 
-// SetDown makes the store drop every connection, or serve again.
+// SetDown sets whether the store drops every connection without a response.
 func (s *Store) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.setDown(down)
 }
 
-// setDown also wakes the watches that stand, so that they end; s.mu is held.
+// setDown also wakes the open watches, so that they end. s.mu must be held.
 func (s *Store) setDown(down bool) {
 	s.faults.down = down
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// storeStatus is the answer to GET /status.
+// storeStatus is the response to GET /status.
 type storeStatus struct {
 	Revision uint64 `json:"revision"`
 	Watches  int    `json:"watches"`
@@ -315,10 +315,10 @@
 func (s *Store) status(writer http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	answer(writer, storeStatus{Revision: s.revision, Watches: s.watches, Requests: s.requests})
+	writeJSON(writer, storeStatus{Revision: s.revision, Watches: s.watches, Requests: s.requests})
 }
 
-func answer(writer http.ResponseWriter, value any) {
+func writeJSON(writer http.ResponseWriter, value any) {
 	writer.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(writer).Encode(value)
 }
