--- a/internal/lab/demo/demo.go
+++ b/internal/lab/demo/demo.go
@@ -1,5 +1,5 @@
-// Package demo runs both deployments of the brief in one process, breaks things
-// midway and judges what the callers saw.
+// Package demo runs the two example deployments in one process, injects faults and checks the
+// consistency of the recorded history.
 package demo
 
 import (
@@ -33,29 +33,29 @@
 	Out       io.Writer
 }
 
-// Demo is a running deployment and what is known of it.
+// Demo is a running deployment and the results of its workloads.
 type Demo struct {
-	settings Settings
-	Fleet    *fleet.Fleet
-	started  time.Time
-	results  []*load.Result
-	lostAt   time.Duration
-	stopping [nodeCount]atomic.Bool
-	mu       sync.Mutex // guards the fleet's nodes while one is replaced
-	Report   *check.Report
+	settings      Settings
+	Fleet         *fleet.Fleet
+	started       time.Time
+	results       []*load.Result
+	primaryLostAt time.Duration
+	stopping      [nodeCount]atomic.Bool
+	mu            sync.Mutex // guards the fleet's nodes while one is replaced
+	Report        *check.Report
 }
 
 const (
 	nodeCount = 3
-	// electionDelay is the stand-in groups' own time to change their primary.
+	// electionDelay is how long the simulated groups take to elect a new primary.
 	electionDelay = time.Second
-	// think is the mean pause of a session.
-	think = 40 * time.Millisecond
-	// requestTimeout is when a caller gives up.
+	// thinkTime is the mean pause between requests of a session.
+	thinkTime = 40 * time.Millisecond
+	// requestTimeout is when a caller gives up on a request.
 	requestTimeout = 8 * time.Second
 )
 
-// Start brings the deployment up and submits the policies.
+// Start starts the deployment and submits the policies.
 func Start(ctx context.Context, settings Settings) (*Demo, error) {
 	bookings, exams := fleet.DefaultDatabase("bookings"), fleet.DefaultDatabase("exams")
 	bookings.ElectionDelay, exams.ElectionDelay = electionDelay, electionDelay
@@ -88,7 +88,7 @@
 	return true
 }
 
-// Run drives the workloads, causes the failures and judges the history.
+// Run runs the workloads, injects the faults, checks the history and prints the results.
 func (d *Demo) Run(ctx context.Context) error {
 	d.started = time.Now()
 	var running sync.WaitGroup
@@ -108,7 +108,7 @@
 	running.Add(1)
 	go func() {
 		defer running.Done()
-		d.breakThings(ctx)
+		d.injectFaults(ctx)
 	}()
 	finished := make(chan struct{})
 	go func() {
@@ -116,12 +116,12 @@
 		close(finished)
 	}()
 	d.showProgress(finished)
-	return d.judge()
+	return d.checkHistory()
 }
 
 func (d *Demo) loadSettings(workload load.Workload, seed uint64) load.Settings {
 	return load.Settings{
-		Nodes: make([]string, nodeCount), Workload: workload, Sessions: d.settings.Sessions, Think: think, Duration: d.settings.Duration,
+		Nodes: make([]string, nodeCount), Workload: workload, Sessions: d.settings.Sessions, Think: thinkTime, Duration: d.settings.Duration,
 		Seed: seed, Timeout: requestTimeout, Started: d.started, NodeAddress: d.nodeAddress,
 		StoppingNode: func(index int) bool { return d.stopping[index].Load() },
 	}
@@ -133,13 +133,13 @@
 	return d.Fleet.Nodes[index].Address
 }
 
-func (d *Demo) note(format string, values ...any) {
+func (d *Demo) logf(format string, values ...any) {
 	_, _ = fmt.Fprintf(d.settings.Out, "%6.1fs  "+format+"\n", append([]any{time.Since(d.started).Seconds()}, values...)...)
 }
 
-// breakThings lets replicas fall behind, cuts off the primary of the bookings
-// group and stops a node as planned.
-func (d *Demo) breakThings(ctx context.Context) {
+// injectFaults makes the replicas of the bookings group lag, isolates its primary, and later
+// restarts a node.
+func (d *Demo) injectFaults(ctx context.Context) {
 	third := d.settings.Duration / 3
 	bookings := d.Fleet.Databases["bookings"]
 	if !pause.For(ctx, third) {
@@ -147,32 +147,32 @@
 	}
 	primary := bookings.Leader()
 	for index := range 3 {
-		d.cause(bookings, index, database.FaultLag, true, 200*time.Millisecond)
+		d.setFault(bookings, index, database.FaultLag, true, 200*time.Millisecond)
 	}
-	d.note("bookings: replicas apply 200 ms late")
-	d.lostAt = time.Since(d.started)
-	d.cause(bookings, primary, database.FaultCut, true, 0)
-	d.note("bookings: primary %d is cut off from its group and still accepts connections", primary)
+	d.logf("bookings: replicas now apply the log 200 ms late")
+	d.primaryLostAt = time.Since(d.started)
+	d.setFault(bookings, primary, database.FaultCut, true, 0)
+	d.logf("bookings: primary %d is isolated from its group but still accepts connections", primary)
 	if !pause.For(ctx, third/2) {
 		return
 	}
-	d.cause(bookings, primary, database.FaultCut, false, 0)
+	d.setFault(bookings, primary, database.FaultCut, false, 0)
 	for index := range 3 {
-		d.cause(bookings, index, database.FaultLag, true, 0)
+		d.setFault(bookings, index, database.FaultLag, true, 0)
 	}
-	d.note("bookings: healed")
+	d.logf("bookings: faults ended")
 	d.replaceNode(nodeCount - 1)
 }
 
-func (d *Demo) cause(group *database.Group, server int, fault database.Fault, on bool, amount time.Duration) {
+func (d *Demo) setFault(group *database.Group, server int, fault database.Fault, on bool, amount time.Duration) {
 	if err := group.SetFault(server, fault, on, amount); err != nil {
-		d.note("fault failed: %v", err)
+		d.logf("cannot inject the fault: %v", err)
 	}
 }
 
-// replaceNode stops a node as planned and starts it again.
+// replaceNode drains a node, stops it and starts it again.
 func (d *Demo) replaceNode(index int) {
-	d.note("node%d: planned stop", index+1)
+	d.logf("node%d: planned stop", index+1)
 	d.stopping[index].Store(true)
 	stopped := d.Fleet.Nodes[index]
 	stopped.Drain()
@@ -182,10 +182,10 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if err := d.Fleet.StartNode(index); err != nil {
-		d.note("node%d does not start again: %v", index+1, err)
+		d.logf("node%d: restart failed: %v", index+1, err)
 		return
 	}
-	d.note("node%d: replaced", index+1)
+	d.logf("node%d: restarted", index+1)
 }
 
 func (d *Demo) showProgress(finished chan struct{}) {
@@ -196,13 +196,13 @@
 		case <-finished:
 			return
 		case <-ticker.C:
-			d.note("%d requests answered", d.results[0].Count()+d.results[1].Count())
+			d.logf("%d requests answered", d.results[0].Count()+d.results[1].Count())
 		}
 	}
 }
 
-// judge gathers the servers' logs, checks the promises and prints the table.
-func (d *Demo) judge() error {
+// checkHistory collects the servers' logs, checks the promises and prints the results.
+func (d *Demo) checkHistory() error {
 	recorded := history.New()
 	for _, result := range d.results {
 		recorded.Operations = append(recorded.Operations, result.Operations...)
@@ -218,25 +218,25 @@
 	summary := measure.Summarize(recorded.Operations, 0, 2*d.settings.Duration)
 	_, _ = fmt.Fprintln(d.settings.Out)
 	summary.Print(d.settings.Out)
-	d.printMeasures(recorded)
-	for _, violation := range d.Report.Violations[:min(shownViolations, len(d.Report.Violations))] {
+	d.printMetrics(recorded)
+	for _, violation := range d.Report.Violations[:min(maxShownViolations, len(d.Report.Violations))] {
 		_, _ = fmt.Fprintf(d.settings.Out, "VIOLATION %s: %s\n", violation.Promise, violation.Detail)
 	}
 	return nil
 }
 
-// shownViolations is how many violations are printed in full.
-const shownViolations = 10
+// maxShownViolations is the maximum number of violations that are printed.
+const maxShownViolations = 10
 
-func (d *Demo) printMeasures(recorded *history.History) {
+func (d *Demo) printMetrics(recorded *history.History) {
 	replica, primary := uint64(0), uint64(0)
 	for _, current := range d.Fleet.Nodes {
 		replica += current.OwnerCounters.ReadsByReplica.Load()
 		primary += current.OwnerCounters.ReadsByPrimary.Load()
 	}
-	_, _ = fmt.Fprintf(d.settings.Out, "\nreads served by replicas: %.1f%% (at the owners still running)\n", 100*float64(replica)/float64(max(replica+primary, 1)))
-	if gap, ok := measure.FailoverGap(recorded.Operations, "bookings", d.lostAt); ok && d.lostAt > 0 {
-		_, _ = fmt.Fprintf(d.settings.Out, "failover gap: %s, of which %s are the group's own change of primary\n", gap.Round(time.Millisecond), electionDelay)
+	_, _ = fmt.Fprintf(d.settings.Out, "\nreads served by replicas: %.1f%% (counted by owners that are still running)\n", 100*float64(replica)/float64(max(replica+primary, 1)))
+	if gap, ok := measure.FailoverGap(recorded.Operations, "bookings", d.primaryLostAt); ok && d.primaryLostAt > 0 {
+		_, _ = fmt.Fprintf(d.settings.Out, "failover gap: %s, including the group's election delay of %s\n", gap.Round(time.Millisecond), electionDelay)
 	}
 	_, _ = fmt.Fprintln(d.settings.Out, "promises:")
 	for _, promise := range check.All {
--- a/internal/lab/fleet/callers_test.go
+++ b/internal/lab/fleet/callers_test.go
@@ -46,14 +46,13 @@
 
 func requireCode(t *testing.T, err error, code string) *pgconn.PgError {
 	t.Helper()
-	var refused *pgconn.PgError
-	must.True(t, errors.As(err, &refused), must.Sprint(err))
-	must.Eq(t, code, refused.Code, must.Sprint(refused.Message, refused.Detail))
-	return refused
+	var pgError *pgconn.PgError
+	must.True(t, errors.As(err, &pgError), must.Sprint(err))
+	must.Eq(t, code, pgError.Code, must.Sprint(pgError.Message, pgError.Detail))
+	return pgError
 }
 
-// A new user's first steps with pgx: prepared statements, transactions, errors,
-// batches, several nodes.
+// Covers common use with pgx: prepared statements, transactions, errors, batches and several nodes.
 func TestPgx(t *testing.T) {
 	f := start(t, nil)
 	ctx := context.Background()
@@ -106,8 +105,9 @@
 	must.Eq(t, int64(99), returned)
 }
 
-// What pooling cannot carry is refused with a remedy, and the connection lives on.
-func TestUnsupported(t *testing.T) {
+// Statements that don't work with pooling must be rejected with a hint, and the connection must stay
+// usable.
+func TestUnsupportedStatementsAreRejected(t *testing.T) {
 	f := start(t, nil)
 	ctx := context.Background()
 	conn := connect(t, f, 0, "ann")
@@ -122,7 +122,7 @@
 	must.NoError(t, conn.QueryRow(ctx, "SELECT 1").Scan(&one))
 }
 
-// A caller carries its position from one node to another.
+// A caller that carries its position to another node must see its own writes there.
 func TestCarriedPosition(t *testing.T) {
 	f := start(t, nil)
 	ctx := context.Background()
@@ -164,7 +164,7 @@
 	must.Eq(t, 10, count)
 }
 
-// Wrong passwords are refused and harm nobody; right ones are accepted.
+// Only correct passwords of known users must be accepted.
 func TestAuthentication(t *testing.T) {
 	f := start(t, func(config *Settings) { config.Authenticate = true })
 	ctx := context.Background()
@@ -183,8 +183,8 @@
 	requireCode(t, err, "28P01")
 }
 
-// An answer of many rows arrives whole through a node that forwards it.
-func TestLargeAnswer(t *testing.T) {
+// A large answer must arrive complete and in order through every node.
+func TestLargeAnswerArrivesComplete(t *testing.T) {
 	f := start(t, nil)
 	ctx := context.Background()
 	writer := connect(t, f, 0, "ann")
@@ -212,7 +212,7 @@
 	}
 }
 
-// A cancel request ends a caller's statement and nobody else's.
+// A cancel request must only end the statement of its own connection.
 func TestCancel(t *testing.T) {
 	f := start(t, func(config *Settings) { config.Groups[0].StatementTime = 400 * time.Millisecond })
 	ctx := context.Background()
@@ -240,7 +240,7 @@
 	must.NoError(t, <-result)
 }
 
-// A planned stop lets a transaction end, then ends the caller with 57P01.
+// A planned stop must let open transactions finish and end idle callers with SQLSTATE 57P01.
 func TestPlannedStop(t *testing.T) {
 	f := start(t, nil)
 	ctx := context.Background()
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet runs a whole small deployment in one process: a stand-in
-// platform, stand-in database groups and real nodes, all on loopback sockets. The
-// demo, the load tool and the integration tests share it.
+// Package fleet runs a complete small deployment in one process: a simulated platform, simulated
+// database groups and real nodes, all on loopback sockets. The demo, the benchmarks and the
+// integration tests use it.
 package fleet
 
 import (
@@ -23,7 +23,7 @@
 	"dewknot/internal/postgres/operator"
 )
 
-// Key is the fleet key of such deployments; they serve loopback only.
+// Key is the fleet key of these deployments. It isn't secret, as they only listen on loopback.
 const Key = "loopback-fleet-key-0123456789"
 
 // Settings describe a deployment.
@@ -31,11 +31,11 @@
 	Nodes  int
 	Zones  []string
 	Groups []database.Settings
-	// Authenticate makes callers prove a password.
+	// Authenticate makes nodes require passwords from callers.
 	Authenticate bool
 	ReviewNeeded bool
 	Log          *zap.Logger
-	// FirstPort is the first caller port; 0 chooses free ports.
+	// FirstPort is the port on which the first node accepts callers; 0 selects free ports.
 	FirstPort int
 }
 
@@ -49,7 +49,7 @@
 	settings  Settings
 }
 
-// Node is a node and its operator address.
+// Node is a running node and its operator server.
 type Node struct {
 	*node.Node
 	Operators *operator.Server
@@ -57,7 +57,8 @@
 	Settings  settings.Node
 }
 
-// DefaultDatabase returns a stand-in group with today's limits of a booking database.
+// DefaultDatabase returns the settings of a simulated group with the limits of a typical booking
+// database.
 func DefaultDatabase(name string) database.Settings {
 	const servers = 3
 	addresses := make([]string, servers)
@@ -70,7 +71,7 @@
 	}
 }
 
-// Start runs a deployment and waits until every node is ready.
+// Start starts a deployment and waits until every node is ready.
 func Start(config Settings) (*Fleet, error) {
 	started := &Fleet{Databases: map[string]*database.Group{}, settings: config}
 	if err := started.open(); err != nil {
@@ -117,7 +118,7 @@
 	return nil
 }
 
-// StartNode starts or restarts the node with an index.
+// StartNode starts the node with the given index, or restarts it after it was closed.
 func (f *Fleet) StartNode(index int) error {
 	config := settings.Defaults()
 	config.ID = fmt.Sprintf("node%d", index+1)
@@ -170,11 +171,11 @@
 	return err
 }
 
-// readyLimit bounds the start of a deployment.
-const readyLimit = 20 * time.Second
+// readyTimeout is the timeout for starting a deployment.
+const readyTimeout = 20 * time.Second
 
 func (f *Fleet) waitReady() error {
-	return Wait(readyLimit, func() bool {
+	return Wait(readyTimeout, func() bool {
 		for _, current := range f.Nodes {
 			view := current.View()
 			if !view.Ready || len(view.Members) < len(f.Nodes) || len(view.Config.Groups) < len(f.settings.Groups) {
@@ -185,7 +186,7 @@
 	})
 }
 
-// allServed reports whether some node knows a primary of every group.
+// allServed reports whether every group has a usable primary according to some node.
 func (f *Fleet) allServed() bool {
 	for name := range f.Databases {
 		served := false
@@ -201,20 +202,20 @@
 	return true
 }
 
-// pollInterval is the time between looks at a condition.
+// pollInterval is how often Wait checks its condition.
 const pollInterval = 10 * time.Millisecond
 
-// Wait polls a condition until it holds or the limit has passed.
+// Wait polls a condition and returns an error if it doesn't hold within the limit.
 func Wait(limit time.Duration, condition func() bool) error {
 	for deadline := time.Now().Add(limit); time.Now().Before(deadline); time.Sleep(pollInterval) {
 		if condition() {
 			return nil
 		}
 	}
-	return errors.Errorf("the condition did not hold within %s; see the log", limit)
+	return errors.Errorf("the condition did not hold within %s; check the log", limit)
 }
 
-// Close stops everything.
+// Close stops all nodes, groups and the store.
 func (f *Fleet) Close() {
 	for _, current := range f.Nodes {
 		current.Operators.Close()
--- a/internal/lab/fleet/flush_test.go
+++ b/internal/lab/fleet/flush_test.go
@@ -8,7 +8,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// receive reads messages up to one of a type.
+// receive reads messages up to the first of type T.
 func receive[T pgproto3.BackendMessage](t *testing.T, frontend *pgproto3.Frontend) T {
 	t.Helper()
 	for {
@@ -26,7 +26,7 @@
 	}
 }
 
-// A caller that waits after Flush gets answers, and errors, before it sends Sync.
+// Answers and errors must reach a caller that sent Flush and hasn't sent Sync yet.
 func TestFlush(t *testing.T) {
 	f := start(t, nil)
 	ctx := context.Background()
--- a/internal/lab/fleet/hostile_test.go
+++ b/internal/lab/fleet/hostile_test.go
@@ -15,7 +15,7 @@
 	_ "dewknot/internal/base/propertytest" // fixes the seed
 )
 
-// startup is a startup message for a group.
+// startup returns an encoded startup message.
 func startup(t must.T) []byte {
 	message := pgproto3.StartupMessage{ProtocolVersion: pgproto3.ProtocolVersion30, Parameters: map[string]string{"user": "mallory", "database": "bookings"}}
 	encoded, err := message.Encode(nil)
@@ -23,13 +23,12 @@
 	return encoded
 }
 
-// frame is a message of a type with a claimed length.
+// frame returns a message with the given type byte and length field, which may be wrong.
 func frame(kind byte, length uint32, body string) []byte {
 	return append(binary.BigEndian.AppendUint32([]byte{kind}, length), body...)
 }
 
-// sendRaw writes bytes on a new connection and lets the node react; it returns
-// once the node has closed the connection or the bytes are written.
+// sendRaw writes bytes to a new connection and reads until the node closes it or a deadline passes.
 func sendRaw(t must.T, address string, data []byte) {
 	conn, err := net.Dial("tcp", address)
 	must.NoError(t, err)
@@ -44,15 +43,15 @@
 	}
 }
 
-// Truncated frames, unknown types, huge lengths and messages out of order end
-// their own connection, cost bounded memory and harm no other caller.
-func TestHostileCallers(t *testing.T) {
+// Truncated frames, unknown types, huge lengths and messages out of order must not affect other
+// connections or use unbounded memory.
+func TestMalformedInputDoesNotAffectOthers(t *testing.T) {
 	f := start(t, nil)
 	ctx := context.Background()
 	address := f.Nodes[0].Address
-	good := connect(t, f, 0, "ann")
+	conn := connect(t, f, 0, "ann")
 	const gigabyte = 1 << 30
-	hostile := [][]byte{
+	inputs := [][]byte{
 		nil,
 		{0, 0, 0, 200, 0, 3},
 		frame(0xff, 0xffffffff, ""),
@@ -67,9 +66,9 @@
 	}
 	before := liveHeap()
 	for round := range 20 {
-		sendRaw(t, address, hostile[round%len(hostile)])
+		sendRaw(t, address, inputs[round%len(inputs)])
 		var one int64
-		must.NoError(t, good.QueryRow(ctx, "SELECT 1").Scan(&one))
+		must.NoError(t, conn.QueryRow(ctx, "SELECT 1").Scan(&one))
 	}
 	const allowed = 64 << 20
 	must.Less(t, before+allowed, liveHeap())
@@ -82,10 +81,10 @@
 	return stats.HeapAlloc
 }
 
-// Whatever bytes follow a startup message, the node goes on serving others.
+// Random bytes after a startup message must not affect other connections.
 func TestRandomBytes(t *testing.T) {
 	f := start(t, nil)
-	good := connect(t, f, 0, "ann")
+	other := connect(t, f, 0, "ann")
 	kinds := []byte("QPBDECSHXFdcfp~\x00")
 	rapid.Check(t, func(t *rapid.T) {
 		data := startup(t)
@@ -100,6 +99,6 @@
 		_, _ = conn.Write(data)
 		_ = conn.Close()
 		var one int64
-		must.NoError(t, good.QueryRow(context.Background(), "SELECT 1").Scan(&one))
+		must.NoError(t, other.QueryRow(context.Background(), "SELECT 1").Scan(&one))
 	})
 }
--- a/internal/lab/fleet/operators_test.go
+++ b/internal/lab/fleet/operators_test.go
@@ -12,8 +12,8 @@
 	"dewknot/internal/postgres/operator"
 )
 
-// patience bounds waiting for what must come; no verdict depends on how long it takes.
-const patience = 20 * time.Second
+// waitTimeout is the timeout of all waits. The tests don't check durations.
+const waitTimeout = 20 * time.Second
 
 func change(operation string, replaces uint64) administration.Change {
 	return administration.Change{Operation: operation, Author: "ann", Replaces: replaces}
@@ -23,9 +23,9 @@
 	return operator.NewClient(f.Nodes[index].Settings.Operator)
 }
 
-// A policy submitted through one node's operator address decides on every node; a
-// conflicting one is told the winner.
-func TestPolicyThroughOperators(t *testing.T) {
+// A policy submitted through one node's operator address must apply on every node. A conflicting
+// change must be rejected with the winning version, an invalid one as invalid.
+func TestPolicyAppliesOnAllNodes(t *testing.T) {
 	f := start(t, nil)
 	ctx := context.Background()
 	source := `
@@ -35,7 +35,7 @@
 	outcome, err := client(f, 0).SubmitPolicy(ctx, "bookings", operator.PolicyChange{Change: change("one", 0), Source: source})
 	must.NoError(t, err)
 	must.True(t, outcome.InForce)
-	must.NoError(t, Wait(patience, func() bool {
+	must.NoError(t, Wait(waitTimeout, func() bool {
 		fleet, err := client(f, 1).Fleet(ctx)
 		if err != nil || len(fleet.Nodes) < len(f.Nodes) {
 			return false
@@ -62,7 +62,7 @@
 	must.Eq(t, administration.Invalid, conflict.Kind)
 }
 
-// A server that is marked gets no new work once the owners know, and reads go on.
+// A server marked as leaving must get no new work once all nodes know it, while reads continue.
 func TestLeavingServerGetsNoWork(t *testing.T) {
 	f := start(t, nil)
 	ctx := context.Background()
@@ -70,11 +70,11 @@
 	address := f.Databases["bookings"].Addresses()[leaving]
 	_, err := client(f, 0).Mark(ctx, operator.MarkChange{Change: change("mark", 0), Group: "bookings", Server: address, Leaving: true})
 	must.NoError(t, err)
-	must.NoError(t, Wait(patience, func() bool {
+	must.NoError(t, Wait(waitTimeout, func() bool {
 		known := 0
 		for _, node := range f.Nodes {
-			group, held := node.Status().Groups["bookings"]
-			if held && !group.Servers[leaving].Leaving {
+			group, found := node.Status().Groups["bookings"]
+			if found && !group.Servers[leaving].Leaving {
 				return false
 			}
 			if node.View().Config.LeavingServers["bookings/"+address] {
@@ -94,27 +94,27 @@
 	must.Eq(t, before, f.Databases["bookings"].WorkStarted(leaving))
 }
 
-// A change of primary under callers loses no acknowledged write, and writes resume.
-func TestCutPrimary(t *testing.T) {
+// A change of primary under load must not lose acknowledged writes, and writes must resume.
+func TestPrimaryChangeLosesNoWrites(t *testing.T) {
 	f := start(t, nil)
 	ctx := context.Background()
 	conn := connect(t, f, 0, "ann")
 	_, err := conn.Exec(ctx, "CREATE TABLE seats (id INTEGER PRIMARY KEY)")
 	must.NoError(t, err)
 	group := f.Databases["bookings"]
-	cut := group.Leader()
-	must.NoError(t, group.SetFault(cut, "cut", true, 0))
+	isolated := group.Leader()
+	must.NoError(t, group.SetFault(isolated, "cut", true, 0))
 	acknowledged := []int{}
 	id := 0
-	must.NoError(t, Wait(patience, func() bool {
+	must.NoError(t, Wait(waitTimeout, func() bool {
 		id++
 		if _, err := conn.Exec(ctx, "INSERT INTO seats VALUES ($1)", id); err == nil {
 			acknowledged = append(acknowledged, id)
 		}
 		return len(acknowledged) == 5
 	}))
-	must.NoError(t, group.SetFault(cut, "cut", false, 0))
-	must.NotEq(t, cut, group.Leader())
+	must.NoError(t, group.SetFault(isolated, "cut", false, 0))
+	must.NotEq(t, isolated, group.Leader())
 	reader := connect(t, f, 2, "ann")
 	for _, id := range acknowledged {
 		var found int64
--- a/internal/lab/load/collect.go
+++ b/internal/lab/load/collect.go
@@ -8,8 +8,8 @@
 	"dewknot/internal/lab/standin/database"
 )
 
-// CollectCommits turns the logs of a group's servers into records. A statement's
-// first argument is the record that it writes, the second its operation.
+// CollectCommits adds the logs of a group's servers to a history. The first argument of a statement
+// must be the key that it writes, the second the ID of its operation.
 func CollectCommits(recorded *history.History, group string, leader int, logs [][]database.LoggedTransaction) {
 	seen := map[position.Position]bool{}
 	for server, log := range logs {
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -1,9 +1,9 @@
-// Package load drives real nodes with the workloads of the brief and records a
-// history that package check can judge.
+// Package load runs the example workloads against real nodes and records a history for package
+// check.
 //
-// Every session moves between nodes from one request to the next. Each write
-// stores the identifier of its operation, and each answer carries the identifier
-// of the request, so that lost, repeated and mixed-up work shows.
+// Every session moves between nodes from one request to the next. Each write stores the ID of its
+// operation and each answer carries the ID of its request, so that lost, repeated and confused
+// requests can be detected.
 package load
 
 import (
@@ -21,19 +21,19 @@
 
 // Request is one kind of request of a workload.
 type Request struct {
-	Kind  string
-	Type  history.Type
-	Parts int // share among the workload's requests
-	// Shared requests concern a record that all sessions know.
+	Kind   string
+	Type   history.Type
+	Weight int // relative frequency
+	// Shared is set if the request uses the record that all sessions share.
 	Shared bool
-	// Rows is how many rows a read returns; the answer is whole only with all.
+	// Rows is how many rows a read must return.
 	Rows int
-	// Freshness and MaxLag are what the policy promises, for the checker.
+	// Freshness and MaxLag are what the policy promises.
 	Freshness string
 	MaxLag    time.Duration
 }
 
-// Workload is a service's mix of requests.
+// Workload is the mix of requests to a service.
 type Workload struct {
 	Name     string
 	Group    string
@@ -41,34 +41,34 @@
 	Requests []Request
 }
 
-// Shirebound is the coach booking workload.
+// Shirebound returns the coach booking workload.
 func Shirebound() Workload {
 	return Workload{Name: "shirebound", Group: "bookings", User: "passenger", Requests: []Request{
-		{Kind: "seat_booking", Type: history.Write, Parts: 3},
-		{Kind: "payment", Type: history.Transaction, Parts: 2},
-		{Kind: "departure_cancel", Type: history.Write, Parts: 1, Shared: true},
-		{Kind: "own_booking", Type: history.Read, Parts: 6, Rows: 1, Freshness: "session"},
-		{Kind: "manifest", Type: history.Read, Parts: 4, Shared: true, Rows: 40, Freshness: "current"},
-		{Kind: "timetable", Type: history.Read, Parts: 4, Shared: true, Rows: 80, Freshness: "current"},
+		{Kind: "seat_booking", Type: history.Write, Weight: 3},
+		{Kind: "payment", Type: history.Transaction, Weight: 2},
+		{Kind: "departure_cancel", Type: history.Write, Weight: 1, Shared: true},
+		{Kind: "own_booking", Type: history.Read, Weight: 6, Rows: 1, Freshness: "session"},
+		{Kind: "manifest", Type: history.Read, Weight: 4, Shared: true, Rows: 40, Freshness: "current"},
+		{Kind: "timetable", Type: history.Read, Weight: 4, Shared: true, Rows: 80, Freshness: "current"},
 	}}
 }
 
-// Gentvaart is the exam workload.
+// Gentvaart returns the exam workload.
 func Gentvaart() Workload {
 	return Workload{Name: "gentvaart", Group: "exams", User: "candidate", Requests: []Request{
-		{Kind: "slot_booking", Type: history.Write, Parts: 1},
-		{Kind: "check_in", Type: history.Write, Parts: 1},
-		{Kind: "exam_answer", Type: history.Transaction, Parts: 1},
-		{Kind: "result_publication", Type: history.Write, Parts: 1, Shared: true},
-		{Kind: "own_slot", Type: history.Read, Parts: 6, Rows: 1, Freshness: "session"},
-		{Kind: "results", Type: history.Read, Parts: 10, Shared: true, Rows: 30, Freshness: "lag", MaxLag: 2 * time.Second},
-		{Kind: "exam_rules", Type: history.Read, Parts: 2, Shared: true, Rows: 10, Freshness: "any"},
+		{Kind: "slot_booking", Type: history.Write, Weight: 1},
+		{Kind: "check_in", Type: history.Write, Weight: 1},
+		{Kind: "exam_answer", Type: history.Transaction, Weight: 1},
+		{Kind: "result_publication", Type: history.Write, Weight: 1, Shared: true},
+		{Kind: "own_slot", Type: history.Read, Weight: 6, Rows: 1, Freshness: "session"},
+		{Kind: "results", Type: history.Read, Weight: 10, Shared: true, Rows: 30, Freshness: "lag", MaxLag: 2 * time.Second},
+		{Kind: "exam_rules", Type: history.Read, Weight: 2, Shared: true, Rows: 10, Freshness: "any"},
 	}}
 }
 
 // Settings describe a run.
 type Settings struct {
-	// Nodes are the callers' addresses of the nodes.
+	// Nodes are the addresses at which the nodes accept callers.
 	Nodes    []string
 	Workload Workload
 	Sessions int
@@ -79,15 +79,15 @@
 	Password string
 	// Timeout is when a caller gives up on a request.
 	Timeout time.Duration
-	// Started is the run's time zero, shared by workloads that run together.
+	// Started is the time to which recorded times are relative. Concurrent workloads share it.
 	Started time.Time
-	// NodeAddress returns a node's present address; nodes move when restarted.
+	// NodeAddress, if set, returns a node's current address, which changes on restart.
 	NodeAddress func(index int) string
-	// StoppingNode reports whether a planned stop of a node is under way.
+	// StoppingNode, if set, reports whether a planned stop of a node is in progress.
 	StoppingNode func(index int) bool
 }
 
-// Result is what the callers saw.
+// Result collects the operations of a run. Its methods are safe for concurrent use.
 type Result struct {
 	mu         sync.Mutex
 	Operations []history.Operation
@@ -99,14 +99,14 @@
 	r.Operations = append(r.Operations, operation)
 }
 
-// Count returns how many operations have ended so far.
+// Count returns the number of operations that have ended.
 func (r *Result) Count() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.Operations)
 }
 
-// schema is created before a run.
+// schema creates the workload's table.
 const schema = "CREATE TABLE IF NOT EXISTS records (key TEXT PRIMARY KEY, value TEXT)"
 
 // Prepare creates the workload's table.
@@ -133,7 +133,7 @@
 	return conn, errors.Wrapf(err, "connect to node %s", s.address(index))
 }
 
-// Run drives the workload until its time is over.
+// Run runs all sessions of the workload until its duration has passed.
 func Run(ctx context.Context, settings Settings, result *Result) {
 	var sessions sync.WaitGroup
 	for index := range settings.Sessions {
@@ -149,7 +149,7 @@
 func runSession(ctx context.Context, settings Settings, index int, result *Result) {
 	current := &session{
 		settings: settings, name: fmt.Sprintf("%s-%d", settings.Workload.Name, index), result: result,
-		random: rand.New(rand.NewPCG(settings.Seed, uint64(index))), conns: map[int]*pgx.Conn{}, carries: index%2 == 0,
+		random: rand.New(rand.NewPCG(settings.Seed, uint64(index))), conns: map[int]*pgx.Conn{}, carriesPosition: index%2 == 0,
 	}
 	defer current.closeAll()
 	end := settings.Started.Add(settings.Duration)
@@ -159,6 +159,6 @@
 			return
 		}
 		time.Sleep(pause)
-		current.next(ctx)
+		current.runNext(ctx)
 	}
 }
--- a/internal/lab/load/session.go
+++ b/internal/lab/load/session.go
@@ -14,53 +14,53 @@
 	"dewknot/internal/lab/history"
 )
 
-// session is one caller that moves between nodes.
+// session is a caller that moves between nodes.
 type session struct {
 	settings Settings
 	name     string
 	result   *Result
 	random   *rand.Rand
 	conns    map[int]*pgx.Conn
-	// carries is set for sessions that carry their position between nodes.
-	carries  bool
-	position string
-	number   int
+	// carriesPosition is set if the session carries its position from node to node.
+	carriesPosition bool
+	position        string
+	lastNumber      int
 }
 
 func (s *session) closeAll() {
 	for index := range s.conns {
-		s.drop(index)
+		s.dropConnection(index)
 	}
 }
 
-func (s *session) drop(index int) {
+func (s *session) dropConnection(index int) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	_ = s.conns[index].Close(ctx)
 	delete(s.conns, index)
 }
 
-func (s *session) pick() Request {
+func (s *session) pickRequest() Request {
 	total := 0
 	for _, request := range s.settings.Workload.Requests {
-		total += request.Parts
+		total += request.Weight
 	}
 	draw := s.random.IntN(total)
 	for _, request := range s.settings.Workload.Requests {
-		if draw -= request.Parts; draw < 0 {
+		if draw -= request.Weight; draw < 0 {
 			return request
 		}
 	}
 	return s.settings.Workload.Requests[0]
 }
 
-// next runs one request on some node and records it.
-func (s *session) next(ctx context.Context) {
-	request := s.pick()
-	s.number++
+// runNext runs a random request on a random node and records it.
+func (s *session) runNext(ctx context.Context) {
+	request := s.pickRequest()
+	s.lastNumber++
 	own, shared := s.name, s.settings.Workload.Group+"-shared"
 	operation := history.Operation{
-		ID: fmt.Sprintf("%s-%d", s.name, s.number), Session: s.name, Caller: s.settings.Workload.User, Kind: request.Kind, Type: request.Type,
+		ID: fmt.Sprintf("%s-%d", s.name, s.lastNumber), Session: s.name, Caller: s.settings.Workload.User, Kind: request.Kind, Type: request.Type,
 		Group: s.settings.Workload.Group, Freshness: request.Freshness, MaxLag: request.MaxLag, Keys: []string{own},
 	}
 	if request.Shared {
@@ -97,7 +97,7 @@
 }
 
 func (s *session) run(ctx context.Context, conn *pgx.Conn, request Request, operation *history.Operation) error {
-	if s.carries && s.position != "" {
+	if s.carriesPosition && s.position != "" {
 		if _, err := conn.Exec(ctx, "SET dewknot.position = '"+s.position+"'", pgx.QueryExecModeSimpleProtocol); err != nil {
 			return notStartedError{err}
 		}
@@ -119,7 +119,7 @@
 // Statements of the workloads.
 const (
 	upsert = "INSERT INTO records VALUES ($1, $2) ON CONFLICT(key) DO UPDATE SET value = excluded.value"
-	// lookup returns a number of rows, each with the request's identifier.
+	// lookup returns the given number of rows, each with the request's ID.
 	lookup = "WITH RECURSIVE n(i) AS (SELECT 1 UNION ALL SELECT i + 1 FROM n WHERE i < %d) " +
 		"SELECT i, '%s', coalesce((SELECT value FROM records WHERE key = '%s'), '') FROM n"
 )
@@ -147,19 +147,19 @@
 	return rows.Err()
 }
 
-// notStartedError marks a failure before the operation's own statements.
+// notStartedError is a failure before the first statement of the operation.
 type notStartedError struct{ cause error }
 
 // Error implements the error interface.
 func (e notStartedError) Error() string { return e.cause.Error() }
 
-// beforeCommitError marks a transaction that failed before COMMIT was sent.
+// beforeCommitError is a failure of a transaction before COMMIT was sent.
 type beforeCommitError struct{ cause error }
 
 // Error implements the error interface.
 func (e beforeCommitError) Error() string { return e.cause.Error() }
 
-// Unwrap gives access to the cause.
+// Unwrap returns the cause.
 func (e beforeCommitError) Unwrap() error { return e.cause }
 
 func (s *session) transaction(ctx context.Context, conn *pgx.Conn, comment string, operation *history.Operation) error {
@@ -176,7 +176,7 @@
 	return transaction.Commit(ctx)
 }
 
-// finish records an operation and gives up connections that are of no more use.
+// finish records an operation and drops its connection if it can't be used any more.
 func (s *session) finish(operation history.Operation, node int, conn *pgx.Conn, stopping bool, err error) {
 	if err == nil {
 		if position := conn.PgConn().ParameterStatus("dewknot.position"); position != "" && operation.Type != history.Read {
@@ -189,7 +189,7 @@
 	operation.CutByStop = stopping && outcome == history.Unknown && isConnectionLoss(err)
 	s.record(operation, outcome, err)
 	if conn.IsClosed() || conn.PgConn().TxStatus() != 'I' {
-		s.drop(node)
+		s.dropConnection(node)
 	}
 }
 
@@ -202,21 +202,21 @@
 }
 
 func isConnectionLoss(err error) bool {
-	var refused *pgconn.PgError
-	return !errors.As(err, &refused) && !errors.Is(err, context.DeadlineExceeded)
+	var pgError *pgconn.PgError
+	return !errors.As(err, &pgError) && !errors.Is(err, context.DeadlineExceeded)
 }
 
-// outcomeOf reads what a caller may conclude from an error (docs/ERRORS.md).
+// outcomeOf returns what a caller can conclude from an error, see docs/ERRORS.md.
 func outcomeOf(err error) history.Outcome {
-	var refused *pgconn.PgError
+	var pgError *pgconn.PgError
 	var notStarted notStartedError
 	var beforeCommit beforeCommitError
 	switch {
 	case errors.As(err, &notStarted), errors.As(err, &beforeCommit):
 		return history.NotRun
-	case errors.As(err, &refused) && refused.Code != failure.OutcomeUnknown.SQLState():
+	case errors.As(err, &pgError) && pgError.Code != failure.OutcomeUnknown.SQLState():
 		return history.NotRun
-	case errors.As(err, &refused):
+	case errors.As(err, &pgError):
 		return history.Unknown
 	case errors.Is(err, pgx.ErrTxCommitRollback), pgconn.SafeToRetry(err):
 		return history.NotRun
