--- a/internal/lab/standin/database/client.go
+++ b/internal/lab/standin/database/client.go
@@ -30,7 +30,7 @@
 	}
 	response, err := c.http.Do(request)
 	if err != nil {
-		return errors.Wrap(err, "call the stand-in; name its control address")
+		return errors.Wrap(err, "call the control address; check that it is the address of a simulated database group")
 	}
 	defer func() { _ = response.Body.Close() }()
 	body, err := io.ReadAll(response.Body)
@@ -38,7 +38,7 @@
 		return errors.Wrap(err, "read answer")
 	}
 	if response.StatusCode != http.StatusOK {
-		return errors.Errorf("the stand-in refused: %s", strings.TrimSpace(string(body)))
+		return errors.Errorf("the simulated database group rejected the request: %s", strings.TrimSpace(string(body)))
 	}
 	if target == nil {
 		return nil
