--- a/internal/lab/standin/objectapi/store.go
+++ b/internal/lab/standin/objectapi/store.go
@@ -15,7 +15,7 @@
 	api "dewknot/internal/postgres/objectapi"
 )
 
-// Settings describe the stand-in.
+// Settings configure a Store.
 type Settings struct {
 	// Readers is the maximum number of concurrent watches.
 	Readers int
