--- a/internal/lab/benchmark/nodes.go
+++ b/internal/lab/benchmark/nodes.go
@@ -13,33 +13,33 @@
 	"dewknot/internal/postgres/administration"
 )
 
-// NodesResult is what real nodes on loopback showed.
+// NodesResult is the result of Nodes.
 type NodesResult struct {
 	Nodes int
-	// BytesPerSecond is what a node sends and receives by membership in the quiet
-	// state; CorePercent the processor time a node, with everything in it.
+	// BytesPerSecond is a node's membership traffic in both directions while idle. CorePercent is
+	// the process's CPU time per node while idle.
 	BytesPerSecond, CorePercent float64
-	// Spreads holds a row a disturbance.
+	// Spreads holds a result for each disturbance.
 	Spreads []NodesSpread
 }
 
-// NodesSpread is how fast changes came into force.
+// NodesSpread says how long changes took to be in force on all nodes.
 type NodesSpread struct {
 	Disturbance string
 	P50, Max    time.Duration
-	Late        int // changes not in force everywhere within the limit
+	Late        int // changes that weren't in force on all nodes within the timeout
 }
 
-// Times of the measurement.
+// Durations of the measurement.
 const (
-	nodesSettle = 20 * time.Second
-	nodesQuiet  = 10 * time.Second
-	spreadLimit = 8 * time.Second
+	settleDuration     = 20 * time.Second
+	idleDuration       = 10 * time.Second
+	propagationTimeout = 8 * time.Second
 )
 
-// Nodes runs real nodes in one process and measures their quiet state and how
-// fast changes come into force, with the store up and with the store down right
-// after each acceptance.
+// Nodes runs real nodes in one process. It measures them while idle, and how long changes take to be
+// in force everywhere, first with the store up and then with the store down from the time at which
+// it accepts a change.
 func Nodes(ctx context.Context, count, changes int) (*NodesResult, error) {
 	running, err := fleet.Start(fleet.Settings{
 		Nodes: count, Zones: []string{"a", "b", "c", "d", "e"}, Log: zap.NewNop(), Groups: []database.Settings{fleet.DefaultDatabase("bookings")},
@@ -48,16 +48,16 @@
 		return nil, err
 	}
 	defer running.Close()
-	time.Sleep(nodesSettle)
+	time.Sleep(settleDuration)
 	result := &NodesResult{Nodes: count}
-	result.quiet(running)
+	result.measureIdle(running)
 	number := 0
 	for _, storeDown := range []bool{false, true} {
 		name := "undisturbed"
 		if storeDown {
-			name = "store down from the acceptance on"
+			name = "store down after the acceptance"
 		}
-		spread, err := spreadChanges(ctx, running, changes, storeDown, &number)
+		spread, err := measureChanges(ctx, running, changes, storeDown, &number)
 		if err != nil {
 			return nil, err
 		}
@@ -67,39 +67,39 @@
 	return result, nil
 }
 
-func (r *NodesResult) quiet(running *fleet.Fleet) {
+func (r *NodesResult) measureIdle(running *fleet.Fleet) {
 	traffic := func() (total uint64) {
 		for _, node := range running.Nodes {
 			total += node.GossipCounters.SentBytes.Load() + node.GossipCounters.ReceivedBytes.Load()
 		}
 		return total
 	}
-	bytes, cpu := traffic(), processorTime()
-	time.Sleep(nodesQuiet)
-	scale := float64(r.Nodes) * nodesQuiet.Seconds()
+	bytes, cpu := traffic(), cpuTime()
+	time.Sleep(idleDuration)
+	scale := float64(r.Nodes) * idleDuration.Seconds()
 	r.BytesPerSecond = float64(traffic()-bytes) / scale
-	r.CorePercent = 100 * (processorTime() - cpu).Seconds() / scale
+	r.CorePercent = 100 * (cpuTime() - cpu).Seconds() / scale
 }
 
-func spreadChanges(ctx context.Context, running *fleet.Fleet, changes int, storeDown bool, number *int) (NodesSpread, error) {
+func measureChanges(ctx context.Context, running *fleet.Fleet, changes int, storeDown bool, number *int) (NodesSpread, error) {
 	spread := NodesSpread{}
 	var times []time.Duration
 	for range changes {
 		*number++
-		through := running.Nodes[*number*7%len(running.Nodes)]
-		_, replaced, err := through.PolicySource("bookings")
+		node := running.Nodes[*number*7%len(running.Nodes)]
+		_, replaced, err := node.PolicySource("bookings")
 		if err != nil {
 			return spread, err
 		}
 		source := fmt.Appendf(nil, "service(\"bookings\")\ndefault(wait = \"%dms\")\n", *number+1)
 		change := administration.Change{Operation: fmt.Sprint("change", *number), Author: "bench", Replaces: replaced}
-		outcome, err := through.Administration().SubmitPolicy(ctx, "bookings", source, change)
+		outcome, err := node.Administration().SubmitPolicy(ctx, "bookings", source, change)
 		if err != nil {
 			return spread, err
 		}
 		accepted := time.Now()
 		running.Store.SetDown(storeDown)
-		err = fleet.Wait(spreadLimit, func() bool { return inForceEverywhere(running, outcome.Version) })
+		err = fleet.Wait(propagationTimeout, func() bool { return inForceOnAll(running, outcome.Version) })
 		running.Store.SetDown(false)
 		if err != nil {
 			spread.Late++
@@ -114,7 +114,7 @@
 	return spread, nil
 }
 
-func inForceEverywhere(running *fleet.Fleet, version uint64) bool {
+func inForceOnAll(running *fleet.Fleet, version uint64) bool {
 	for _, node := range running.Nodes {
 		policy := node.View().Config.Policies["bookings"]
 		if policy == nil || policy.Version < version {
--- a/internal/lab/benchmark/path.go
+++ b/internal/lab/benchmark/path.go
@@ -22,41 +22,42 @@
 	"dewknot/internal/postgres/group"
 )
 
-// policyForReads lets replicas serve at once, so that only the path is measured.
-const policyForReads = `
+// readPolicy lets replicas serve reads without waiting, so that only the path is measured.
+const readPolicy = `
 service("bookings")
 default(read = any(), wait = "5s")
 `
 
-// startFleet runs three nodes before one group with plenty of slots.
-func startFleet(groups int, tune func(*database.Settings)) (*fleet.Fleet, error) {
+// startFleet starts three nodes and the given number of groups, with enough slots that requests
+// never queue.
+func startFleet(groups int, change func(*database.Settings)) (*fleet.Fleet, error) {
 	settings := fleet.Settings{Nodes: 3, Zones: []string{"a", "b", "c"}, Log: zap.NewNop()}
 	for index := range groups {
-		group := fleet.DefaultDatabase(groupNameOf(index))
+		group := fleet.DefaultDatabase(groupName(index))
 		group.Slots, group.Connections = 64, 400
 		group.ConnectCost = 0
-		if tune != nil {
-			tune(&group)
+		if change != nil {
+			change(&group)
 		}
 		settings.Groups = append(settings.Groups, group)
 	}
 	return fleet.Start(settings)
 }
 
-func groupNameOf(index int) string {
+func groupName(index int) string {
 	if index == 0 {
 		return "bookings"
 	}
 	return fmt.Sprintf("group%d", index)
 }
 
-// Path is a way from a caller to a server.
+// Path is a path from a caller to a server.
 type Path struct {
 	Name    string
 	Address string
 }
 
-// PathSample is what one way cost.
+// PathSample is the cost of a path.
 type PathSample struct {
 	Path       string
 	Statements int
@@ -65,17 +66,17 @@
 	P50, P99   time.Duration
 }
 
-// Rate returns statements a second.
+// Rate returns the number of statements per second.
 func (p PathSample) Rate() float64 { return float64(p.Statements) / p.Elapsed.Seconds() }
 
-// CPUPerStatement returns processor time a statement of the whole process:
-// caller, proxy and stand-in together.
+// CPUPerStatement returns the CPU time per statement of the whole process: caller, proxy and
+// simulated server.
 func (p PathSample) CPUPerStatement() time.Duration {
 	return p.CPU / time.Duration(max(p.Statements, 1))
 }
 
-// drive runs statements from a number of callers and takes the times.
-func drive(ctx context.Context, path Path, callers, statements int) (PathSample, error) {
+// runCallers runs statements from concurrent callers and measures them.
+func runCallers(ctx context.Context, path Path, callers, statements int) (PathSample, error) {
 	sample := PathSample{Path: path.Name, Statements: callers * statements}
 	conns := make([]*pgx.Conn, callers)
 	for index := range conns {
@@ -88,17 +89,17 @@
 	}
 	times := make([][]time.Duration, callers)
 	failures := make([]error, callers)
-	begin, cpu := time.Now(), processorTime()
+	begin, cpu := time.Now(), cpuTime()
 	var running sync.WaitGroup
 	for index, conn := range conns {
 		running.Add(1)
 		go func() {
 			defer running.Done()
-			times[index], failures[index] = driveOne(ctx, conn.PgConn(), statements)
+			times[index], failures[index] = runCaller(ctx, conn.PgConn(), statements)
 		}()
 	}
 	running.Wait()
-	sample.Elapsed, sample.CPU = time.Since(begin), processorTime()-cpu
+	sample.Elapsed, sample.CPU = time.Since(begin), cpuTime()-cpu
 	var all []time.Duration
 	for index := range times {
 		if failures[index] != nil {
@@ -110,7 +111,7 @@
 	return sample, nil
 }
 
-func driveOne(ctx context.Context, conn *pgconn.PgConn, statements int) ([]time.Duration, error) {
+func runCaller(ctx context.Context, conn *pgconn.PgConn, statements int) ([]time.Duration, error) {
 	times := make([]time.Duration, 0, statements)
 	for range statements {
 		begin := time.Now()
@@ -122,15 +123,15 @@
 	return times, nil
 }
 
-// Paths starts a deployment and returns the direct way to a replica, the way
-// through the owner and the way through a node that forwards.
+// Paths starts a deployment and returns the direct path to a replica, the path through the owner and
+// the path through a node that forwards to the owner.
 func Paths(ctx context.Context) (paths []Path, closeAll func(), err error) {
 	running, err := startFleet(1, nil)
 	if err != nil {
 		return nil, nil, err
 	}
 	change := administration.Change{Operation: "bench", Author: "bench"}
-	if _, err := running.Nodes[0].Administration().SubmitPolicy(ctx, "bookings", []byte(policyForReads), change); err != nil {
+	if _, err := running.Nodes[0].Administration().SubmitPolicy(ctx, "bookings", []byte(readPolicy), change); err != nil {
 		running.Close()
 		return nil, nil, err
 	}
@@ -160,13 +161,13 @@
 	return paths, running.Close, nil
 }
 
-// Compare drives every way in turn, round by round, so that all meet the same
-// machine; it returns one sample a way with its rounds added up.
+// Compare measures all paths in each round, so that changes in the machine's load affect all of
+// them. It returns one sample per path: the sum of its rounds, and the means of their quantiles.
 func Compare(ctx context.Context, paths []Path, callers, statements, rounds int) ([]PathSample, error) {
 	totals := make([]PathSample, len(paths))
 	for range rounds {
 		for index, path := range paths {
-			sample, err := drive(ctx, path, callers, statements)
+			sample, err := runCallers(ctx, path, callers, statements)
 			if err != nil {
 				return nil, err
 			}
@@ -182,8 +183,8 @@
 	return totals, nil
 }
 
-// Statements measures the processor time that each way adds to the direct one.
-// Caller and stand-in cost the same on each way and cancel out.
+// Statements measures the CPU time that each path adds to the direct one. The costs of caller and
+// server are the same on all paths and cancel out.
 func Statements(ctx context.Context, progress func(string, ...any)) ([]capacity.Slope, error) {
 	paths, closeAll, err := Paths(ctx)
 	if err != nil {
@@ -201,7 +202,7 @@
 		sizes = append(sizes, float64(samples[0].Statements))
 		for _, sample := range samples[1:] {
 			added[sample.Path] = append(added[sample.Path], float64((sample.CPU - samples[0].CPU).Microseconds()))
-			progress("statements: %s, %d statements: %.0f us of processor time added each", sample.Path, sample.Statements, float64((sample.CPU-samples[0].CPU).Microseconds())/float64(sample.Statements))
+			progress("statements: %s, %d statements: %.0f us of CPU time added per statement", sample.Path, sample.Statements, float64((sample.CPU-samples[0].CPU).Microseconds())/float64(sample.Statements))
 		}
 	}
 	var slopes []capacity.Slope
@@ -215,8 +216,8 @@
 	return slopes, nil
 }
 
-// IdleCallers measures a node's memory an idle caller. Both ends are in this
-// process; the client ends are measured alone and taken off.
+// IdleCallers measures a node's memory per idle caller. Both ends of the connections are in this
+// process, so the memory of the client ends is measured separately and subtracted.
 func IdleCallers(ctx context.Context, sizes []int, progress func(string, ...any)) (capacity.Slope, error) {
 	running, err := startFleet(1, nil)
 	if err != nil {
@@ -225,62 +226,63 @@
 	defer running.Close()
 	var xs, ys []float64
 	for _, size := range sizes {
-		bare, err := idleMemory(size, bareAddress)
+		bareMemory, err := idleConnectionMemory(size, startBareListener)
 		if err != nil {
 			return capacity.Slope{}, err
 		}
-		both, err := idleMemory(size, func() (string, func(), error) { return running.Nodes[0].Address, func() {}, nil })
+		nodeMemory, err := idleConnectionMemory(size, func() (string, func(), error) { return running.Nodes[0].Address, func() {}, nil })
 		if err != nil {
 			return capacity.Slope{}, err
 		}
-		// The bare listener's end costs about what a bare client end does.
-		caller := both - bare/2
-		progress("callers: %d idle: %.1f KB each in the node", size, caller/float64(size)/1024)
-		xs, ys = append(xs, float64(size)), append(ys, caller)
+		// Both ends of a connection to the bare listener cost about the same.
+		callerMemory := nodeMemory - bareMemory/2
+		progress("callers: %d idle: %.1f KB per caller in the node", size, callerMemory/float64(size)/1024)
+		xs, ys = append(xs, float64(size)), append(ys, callerMemory)
 		_ = fleet.Wait(10*time.Second, func() bool { return running.Nodes[0].Callers().Connected() == 0 })
 	}
 	return capacity.Fit(capacity.CallerMemory, "B", "caller", Command+" --only callers", xs, ys)
 }
 
-// bareAddress accepts connections, answers like a server that is ready, and holds them.
-func bareAddress() (string, func(), error) {
+// startBareListener starts a listener that answers each connection with ReadyForQuery and keeps it
+// open.
+func startBareListener() (string, func(), error) {
 	socket, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", nil, errors.Wrap(err, "listen")
 	}
-	var held []net.Conn
+	var conns []net.Conn
 	go func() {
 		for {
 			conn, err := socket.Accept()
 			if err != nil {
 				return
 			}
-			held = append(held, conn)
+			conns = append(conns, conn)
 			_, _ = conn.Write([]byte{'Z', 0, 0, 0, 5, 'I'})
 		}
 	}()
 	return socket.Addr().String(), func() {
 		_ = socket.Close()
-		for _, conn := range held {
+		for _, conn := range conns {
 			_ = conn.Close()
 		}
 	}, nil
 }
 
-// startupMessage is protocol 3.0 with user bench and database bookings.
+// startupMessage is a startup message of protocol 3.0 with user bench and database bookings.
 var startupMessage = func() []byte {
 	body := "\x00\x03\x00\x00user\x00bench\x00database\x00bookings\x00\x00"
 	return append([]byte{0, 0, 0, byte(len(body) + 4)}, body...)
 }()
 
-// idleMemory returns the process's growth while a number of connections stand.
-func idleMemory(count int, open func() (string, func(), error)) (float64, error) {
+// idleConnectionMemory returns by how many bytes the process grows when count connections are open.
+func idleConnectionMemory(count int, open func() (string, func(), error)) (float64, error) {
 	address, closeAll, err := open()
 	if err != nil {
 		return 0, err
 	}
 	defer closeAll()
-	before := heap()
+	before := liveMemory()
 	conns := make([]net.Conn, 0, count)
 	defer func() {
 		for _, conn := range conns {
@@ -300,10 +302,10 @@
 			return 0, err
 		}
 	}
-	return heap() - before, nil
+	return liveMemory() - before, nil
 }
 
-// readUntilReady reads up to a ReadyForQuery that ends what has arrived.
+// readUntilReady reads until the received bytes end with a ReadyForQuery message.
 func readUntilReady(conn net.Conn) error {
 	const readyBytes = 6
 	buffer := make([]byte, 4096)
@@ -311,7 +313,7 @@
 	for {
 		size, err := conn.Read(buffer)
 		if err != nil {
-			return errors.Wrap(err, "wait for the server to be ready")
+			return errors.Wrap(err, "wait for ReadyForQuery")
 		}
 		got = append(got, buffer[:size]...)
 		if len(got) >= readyBytes && got[len(got)-readyBytes] == 'Z' {
@@ -320,8 +322,8 @@
 	}
 }
 
-// StatusQuestions measures the processor time and bytes of status questions. The
-// stand-in's side is included: the figure is an upper bound.
+// StatusQuestions measures the CPU time and the bytes of status queries. The CPU time includes the
+// simulated server, so it is an upper bound.
 func StatusQuestions(progress func(string, ...any)) ([]capacity.Slope, error) {
 	running, err := startFleet(1, nil)
 	if err != nil {
@@ -329,7 +331,7 @@
 	}
 	defer running.Close()
 	address := backend.Address{Server: running.Databases["bookings"].Addresses()[0], User: "bench", Database: "bookings"}
-	counting, err := countBytes(address)
+	bytesPerQuery, err := statusQueryBytes(address)
 	if err != nil {
 		return nil, err
 	}
@@ -340,15 +342,15 @@
 	defer conn.Close()
 	var xs, cpus, bytes []float64
 	for _, count := range []int{1000, 2000, 4000, 8000} {
-		cpu := processorTime()
+		cpu := cpuTime()
 		for range count {
 			if _, err := conn.Status(time.Now().Add(time.Second)); err != nil {
 				return nil, err
 			}
 		}
-		spent := float64((processorTime() - cpu).Microseconds())
-		progress("status: %d questions: %.0f us each, %.0f bytes each", count, spent/float64(count), counting)
-		xs, cpus, bytes = append(xs, float64(count)), append(cpus, spent), append(bytes, counting*float64(count))
+		cpuMicroseconds := float64((cpuTime() - cpu).Microseconds())
+		progress("status: %d queries: %.0f us and %.0f bytes per query", count, cpuMicroseconds/float64(count), bytesPerQuery)
+		xs, cpus, bytes = append(xs, float64(count)), append(cpus, cpuMicroseconds), append(bytes, bytesPerQuery*float64(count))
 	}
 	cpu, err := capacity.Fit(capacity.StatusCPU, "us", "question", Command+" --only status", xs, cpus)
 	if err != nil {
@@ -358,9 +360,9 @@
 	return []capacity.Slope{cpu, traffic}, err
 }
 
-// countBytes returns the bytes of one status question and its answer, with
-// headers and acknowledgements, by asking it over a raw connection.
-func countBytes(address backend.Address) (float64, error) {
+// statusQueryBytes returns the bytes of a status query and its answer, including TCP/IP headers and
+// acknowledgements. It sends the query over a raw connection.
+func statusQueryBytes(address backend.Address) (float64, error) {
 	const segments, segmentOverhead = 3, 52
 	conn, err := net.Dial("tcp", address.Server)
 	if err != nil {
@@ -373,20 +375,20 @@
 	if err := readUntilReady(conn); err != nil {
 		return 0, err
 	}
-	question := append([]byte{'Q', 0, 0, 0, byte(len(backend.StatusQuery) + 5)}, append([]byte(backend.StatusQuery), 0)...)
-	if _, err := conn.Write(question); err != nil {
-		return 0, errors.Wrap(err, "send question")
+	query := append([]byte{'Q', 0, 0, 0, byte(len(backend.StatusQuery) + 5)}, append([]byte(backend.StatusQuery), 0)...)
+	if _, err := conn.Write(query); err != nil {
+		return 0, errors.Wrap(err, "send status query")
 	}
 	buffer := make([]byte, 4096)
 	size, err := conn.Read(buffer)
 	if err != nil {
 		return 0, errors.Wrap(err, "read answer")
 	}
-	return float64(len(question) + size + segments*segmentOverhead), nil
+	return float64(len(query) + size + segments*segmentOverhead), nil
 }
 
-// BackendConnections measures the memory of a pooled connection; the stand-in's
-// end is included: the figure is an upper bound.
+// BackendConnections measures the memory of a pooled connection. It includes the simulated server's
+// end, so it is an upper bound.
 func BackendConnections(ctx context.Context, progress func(string, ...any)) (capacity.Slope, error) {
 	running, err := startFleet(1, nil)
 	if err != nil {
@@ -396,7 +398,7 @@
 	pool := backend.NewPool(backend.Address{Server: running.Databases["bookings"].Addresses()[0], User: "bench", Database: "bookings"})
 	defer pool.CloseAll()
 	var xs, ys []float64
-	before := heap()
+	before := liveMemory()
 	open := 0
 	for _, count := range []int{25, 50, 100, 200} {
 		for ; open < count; open++ {
@@ -404,26 +406,26 @@
 				return capacity.Slope{}, err
 			}
 		}
-		grown := heap() - before
-		progress("back end: %d connections: %.1f KB each", count, grown/float64(count)/1024)
+		grown := liveMemory() - before
+		progress("back end: %d connections: %.1f KB per connection", count, grown/float64(count)/1024)
 		xs, ys = append(xs, float64(count)), append(ys, grown)
 	}
 	return capacity.Fit(capacity.BackendConnection, "B", "connection", Command+" --only backend", xs, ys)
 }
 
-// GroupMachines measures the memory of a group's machine at its owner.
+// GroupMachines measures the memory of a group's state machine at its owner.
 func GroupMachines(progress func(string, ...any)) (capacity.Slope, error) {
 	var xs, ys []float64
 	for _, count := range []int{100, 200, 400, 800} {
-		before := heap()
+		before := liveMemory()
 		machines := make([]*group.Machine, count)
 		for index := range machines {
 			machines[index] = group.New(group.DefaultSettings())
 			machines[index].Step(time.Second, group.Tick{})
 		}
-		grown := heap() - before
+		grown := liveMemory() - before
 		runtime.KeepAlive(machines)
-		progress("groups: %d machines: %.1f KB each", count, grown/float64(count)/1024)
+		progress("groups: %d state machines: %.1f KB per group", count, grown/float64(count)/1024)
 		xs, ys = append(xs, float64(count)), append(ys, grown)
 	}
 	return capacity.Fit(capacity.GroupMemory, "B", "group", Command+" --only groups", xs, ys)
--- a/internal/lab/benchmark/path_test.go
+++ b/internal/lab/benchmark/path_test.go
@@ -7,11 +7,10 @@
 	"github.com/shoenig/test/must"
 )
 
-// BenchmarkForwarded drives statements through a node that forwards; use it with
-// -cpuprofile.
+// BenchmarkForwarded runs statements through a node that forwards them. Use it with -cpuprofile.
 func BenchmarkForwarded(b *testing.B) { benchmarkPath(b, "forwarded") }
 
-// BenchmarkOwner drives statements through the owner.
+// BenchmarkOwner runs statements through the owner.
 func BenchmarkOwner(b *testing.B) { benchmarkPath(b, "owner") }
 
 func benchmarkPath(b *testing.B, name string) {
@@ -24,13 +23,13 @@
 			continue
 		}
 		b.ResetTimer()
-		_, err := drive(ctx, path, 8, b.N/8+1)
+		_, err := runCallers(ctx, path, 8, b.N/8+1)
 		must.NoError(b, err)
 	}
 }
 
-// The comparison serves whole statements over every way.
-func TestCompareServes(t *testing.T) {
+// Statements must succeed over every path.
+func TestStatementsSucceedOverEveryPath(t *testing.T) {
 	ctx := context.Background()
 	paths, closeAll, err := Paths(ctx)
 	must.NoError(t, err)
--- a/internal/lab/benchmark/process.go
+++ b/internal/lab/benchmark/process.go
@@ -1,6 +1,5 @@
-// Package benchmark measures the slopes that package capacity plans with. Each
-// cost is measured at four sizes or more; figures that include the measuring
-// side are upper bounds and say so.
+// Package benchmark measures the costs from which package capacity computes a plan. Each cost is
+// measured at four sizes or more.
 package benchmark
 
 import (
@@ -9,11 +8,11 @@
 	"time"
 )
 
-// Command is how the slopes are made again.
+// Command is the command that measures the slopes.
 const Command = "dewknot measure"
 
-// processorTime returns the process's processor time so far.
-func processorTime() time.Duration {
+// cpuTime returns the CPU time that the process has used.
+func cpuTime() time.Duration {
 	usage := syscall.Rusage{}
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		return 0
@@ -21,8 +20,8 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// heap returns the bytes of live heap and stacks.
-func heap() float64 {
+// liveMemory returns the size of the live heap and the stacks in bytes.
+func liveMemory() float64 {
 	runtime.GC()
 	runtime.GC()
 	stats := runtime.MemStats{}
