--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -1,6 +1,6 @@
-// Package experiment compares designs in the simulator at the sizes of the two
-// deployments: how many reads replicas serve, how long writes are unavailable
-// when a primary fails, and how a burst is shared.
+// Package experiment compares designs by simulating the two example deployments: how many reads
+// replicas serve, how long writes are unavailable when a primary fails, and how capacity is shared
+// in a burst.
 package experiment
 
 import (
@@ -17,73 +17,73 @@
 	"dewknot/internal/postgres/policy"
 )
 
-// Deployment is one of the brief's deployments in the simulator.
+// Deployment is a simulated deployment.
 type Deployment struct {
 	Name     string
 	Settings sim.Settings
 }
 
-// The course of a run: quiet, a surge, in it lagging replicas and a primary cut
-// off, and quiet again.
+// Parameters of a run: normal load, then a surge during which replicas lag and a primary is
+// isolated, then normal load again.
 const (
-	surgeFrom  = 10 * time.Second
-	lagFrom    = 12 * time.Second
-	cutAt      = 16 * time.Second
-	cutFor     = 8 * time.Second
-	surgeTo    = 26 * time.Second
-	runTime    = 36 * time.Second
-	surge      = 10
-	replicaLag = 300 * time.Millisecond
-	election   = 2 * time.Second
-	clients    = 150
-	think      = 250 * time.Millisecond
-	readTime   = 4 * time.Millisecond
-	writeTime  = 8 * time.Millisecond
-	// gentvaartReplicaWait is what examples/gentvaart.star says.
+	surgeFrom     = 10 * time.Second
+	lagFrom       = 12 * time.Second
+	isolateAt     = 16 * time.Second
+	isolateFor    = 8 * time.Second
+	surgeTo       = 26 * time.Second
+	runDuration   = 36 * time.Second
+	surgeFactor   = 10
+	replicaLag    = 300 * time.Millisecond
+	electionDelay = 2 * time.Second
+	clientCount   = 150
+	thinkTime     = 250 * time.Millisecond
+	readTime      = 4 * time.Millisecond
+	writeTime     = 8 * time.Millisecond
+	// gentvaartReplicaWait is the replica_wait of examples/gentvaart.star.
 	gentvaartReplicaWait = 500 * time.Millisecond
 )
 
-func base(zones []sim.Zone, betweenZones, betweenRegions time.Duration, slots, connections int, mix sim.Mix) sim.Settings {
+func baseSettings(zones []sim.Zone, betweenZones, betweenRegions time.Duration, slots, connections int, mix sim.Mix) sim.Settings {
 	return sim.Settings{
-		Seed: 1, Duration: runTime, Zones: zones, InZone: 250 * time.Microsecond, BetweenZones: betweenZones, BetweenRegions: betweenRegions,
+		Seed: 1, Duration: runDuration, Zones: zones, InZone: 250 * time.Microsecond, BetweenZones: betweenZones, BetweenRegions: betweenRegions,
 		ToClients: 3 * time.Millisecond, Nodes: 9, Groups: 3, Slots: slots, Connections: connections, ConnectCost: 10 * time.Millisecond,
-		ReadTime: readTime, WriteTime: writeTime, ElectionDelay: election, ReceiveDelay: time.Millisecond,
+		ReadTime: readTime, WriteTime: writeTime, ElectionDelay: electionDelay, ReceiveDelay: time.Millisecond,
 		Table: sim.DefaultTable(), Group: group.DefaultSettings(),
-		Workload: sim.Workload{Clients: clients, Think: think, Carry: 0.5, Mix: mix, SurgeFrom: surgeFrom, SurgeTo: surgeTo, Surge: surge},
+		Workload: sim.Workload{Clients: clientCount, Think: thinkTime, Carry: 0.5, Mix: mix, SurgeFrom: surgeFrom, SurgeTo: surgeTo, Surge: surgeFactor},
 		Faults: []sim.Fault{
 			{At: lagFrom, For: surgeTo - lagFrom, Kind: sim.LagReplicas, Group: 0, Lag: replicaLag},
 			{At: lagFrom, For: surgeTo - lagFrom, Kind: sim.LagReplicas, Group: 1, Lag: replicaLag},
 			{At: lagFrom, For: surgeTo - lagFrom, Kind: sim.LagReplicas, Group: 2, Lag: replicaLag},
-			{At: cutAt, For: cutFor, Kind: sim.CutPrimary, Group: 0},
+			{At: isolateAt, For: isolateFor, Kind: sim.CutPrimary, Group: 0},
 		},
 	}
 }
 
-// Deployments returns both deployments at their sizes of today.
+// Deployments returns the two example deployments.
 func Deployments() []Deployment {
-	shirebound := base(
+	shirebound := baseSettings(
 		[]sim.Zone{{Name: "leicester", Region: "midlands"}, {Name: "york", Region: "north"}, {Name: "bristol", Region: "west"}},
 		1500*time.Microsecond, 20*time.Millisecond, 5, 40,
 		sim.Mix{Booking: 4, Payment: 2, StatusWrite: 1, OwnRead: 6, StatusRead: 3, Feed: 4, Manifest: 2},
 	)
-	gentvaart := base(
+	gentvaart := baseSettings(
 		[]sim.Zone{{Name: "gent", Region: "gent"}, {Name: "aalst", Region: "aalst"}, {Name: "ronse", Region: "ronse"}},
 		500*time.Microsecond, 10*time.Millisecond, 10, 100,
 		sim.Mix{Booking: 1, Payment: 1, StatusWrite: 1, OwnRead: 8, StatusRead: 1, Feed: 14, Manifest: 4},
 	)
-	// Gentvaart weighs replica reads more: its reads wait longer for a replica.
-	eachKind(&gentvaart, func(rule *policy.Rule) { rule.ReplicaWait = gentvaartReplicaWait })
+	// Gentvaart prefers replicas more: its reads wait longer for one.
+	changeRules(&gentvaart, func(rule *policy.Rule) { rule.ReplicaWait = gentvaartReplicaWait })
 	return []Deployment{{"shirebound", shirebound}, {"gentvaart results day", gentvaart}}
 }
 
-// Variant changes a design for comparison.
+// Variant is a change to the design.
 type Variant struct {
 	Name  string
 	Apply func(*sim.Settings)
 }
 
-// eachKind changes every rule of a table.
-func eachKind(settings *sim.Settings, change func(*policy.Rule)) {
+// changeRules changes every rule of the policy table.
+func changeRules(settings *sim.Settings, change func(*policy.Rule)) {
 	table := settings.Table
 	kinds := map[string]policy.Rule{}
 	for name, rule := range table.Kinds {
@@ -95,13 +95,13 @@
 	settings.Table = table
 }
 
-// Variants returns the baselines and the chosen design.
+// Variants returns the designs to compare: baselines and variants of the implemented design.
 func Variants() []Variant {
 	return []Variant{
-		{"primary only", func(s *sim.Settings) { eachKind(s, func(rule *policy.Rule) { rule.Write = true }) }},
+		{"primary only", func(s *sim.Settings) { changeRules(s, func(rule *policy.Rule) { rule.Write = true }) }},
 		{"replicas, no session rule", func(s *sim.Settings) { s.Group.Mutations.SkipFloor = true }},
 		{"read index for every read", func(s *sim.Settings) {
-			eachKind(s, func(rule *policy.Rule) { rule.Freshness = policy.Current })
+			changeRules(s, func(rule *policy.Rule) { rule.Freshness = policy.Current })
 			s.Workload.Carry = 0
 		}},
 		{"chosen, no position carried", func(s *sim.Settings) { s.Workload.Carry = 0 }},
@@ -109,14 +109,14 @@
 	}
 }
 
-// Outcome is what one variant showed.
+// Outcome is the result of a variant in a deployment.
 type Outcome struct {
 	Deployment, Variant string
 	ReplicaShare        float64
 	SurgeReplicaShare   float64
 	Gap                 time.Duration
 	Resumed             bool
-	P50, P99            time.Duration // of all requests in the surge
+	P50, P99            time.Duration // of successful requests in the surge
 	Succeeded           int
 	NotRunShare         float64
 	UnknownShare        float64
@@ -124,15 +124,15 @@
 	Operations          []history.Operation
 }
 
-// Run runs one variant in one deployment.
+// Run simulates a variant of a deployment.
 func Run(deployment Deployment, variant Variant) Outcome {
 	settings := deployment.Settings
 	variant.Apply(&settings)
 	recorded, _ := sim.Run(settings)
-	whole := measure.Summarize(recorded.Operations, 0, runTime)
+	overall := measure.Summarize(recorded.Operations, 0, runDuration)
 	inSurge := measure.Summarize(recorded.Operations, surgeFrom, surgeTo)
-	outcome := Outcome{Deployment: deployment.Name, Variant: variant.Name, ReplicaShare: whole.ReplicaShare(), SurgeReplicaShare: inSurge.ReplicaShare()}
-	outcome.Gap, outcome.Resumed = measure.FailoverGap(recorded.Operations, "group0", cutAt)
+	outcome := Outcome{Deployment: deployment.Name, Variant: variant.Name, ReplicaShare: overall.ReplicaShare(), SurgeReplicaShare: inSurge.ReplicaShare()}
+	outcome.Gap, outcome.Resumed = measure.FailoverGap(recorded.Operations, "group0", isolateAt)
 	var times []time.Duration
 	for _, operation := range recorded.Operations {
 		if operation.Outcome == history.OK && operation.Start >= surgeFrom && operation.Start < surgeTo {
@@ -140,7 +140,7 @@
 		}
 	}
 	outcome.P50, outcome.P99 = measure.Quantile(times, 0.5), measure.Quantile(times, 0.99)
-	succeeded, notRun, unknown := whole.Totals()
+	succeeded, notRun, unknown := overall.Totals()
 	total := float64(max(succeeded+notRun+unknown, 1))
 	outcome.Succeeded = succeeded
 	outcome.NotRunShare, outcome.UnknownShare = float64(notRun)/total, float64(unknown)/total
@@ -149,7 +149,7 @@
 	return outcome
 }
 
-// Compare runs every variant in every deployment.
+// Compare simulates every variant of every deployment.
 func Compare() []Outcome {
 	var outcomes []Outcome
 	for _, deployment := range Deployments() {
@@ -160,7 +160,7 @@
 	return outcomes
 }
 
-// Print writes outcomes as a Markdown table.
+// Print writes the outcomes as a Markdown table.
 func Print(out io.Writer, outcomes []Outcome) {
 	_, _ = fmt.Fprintf(out, "| deployment | design | replica reads | in the surge | failover gap | p50 in surge | p99 in surge | answered | not run | unknown | violations |\n|---|---|---|---|---|---|---|---|---|---|---|\n")
 	for _, outcome := range outcomes {
@@ -174,8 +174,7 @@
 	}
 }
 
-// OwnerOutcome is how long a group's writes went without an acknowledgement when
-// its owner was lost.
+// OwnerOutcome says how long no write of a group was acknowledged after the loss of its owner.
 type OwnerOutcome struct {
 	Loss       string
 	Gap        time.Duration
@@ -183,37 +182,37 @@
 	Violations int
 }
 
-// OwnerLosses kills or freezes the owner of a group in Shirebound's quiet state.
+// OwnerLosses simulates killing and pausing the owner of a group under Shirebound's normal load.
 func OwnerLosses() []OwnerOutcome {
 	const lostFor = 10 * time.Second
 	var outcomes []OwnerOutcome
 	for _, loss := range []sim.FaultKind{sim.KillOwner, sim.PauseOwner} {
 		settings := Deployments()[0].Settings
 		settings.Workload.Surge = 1
-		settings.Faults = []sim.Fault{{At: cutAt, For: lostFor, Kind: loss}}
+		settings.Faults = []sim.Fault{{At: isolateAt, For: lostFor, Kind: loss}}
 		recorded, _ := sim.Run(settings)
 		outcome := OwnerOutcome{Loss: string(loss), Violations: len(check.History(recorded).Violations)}
-		outcome.Gap, outcome.Resumed = measure.FailoverGap(recorded.Operations, "group0", cutAt)
+		outcome.Gap, outcome.Resumed = measure.FailoverGap(recorded.Operations, "group0", isolateAt)
 		outcomes = append(outcomes, outcome)
 	}
 	return outcomes
 }
 
-// ShareOutcome is what callers got under one queue discipline.
+// ShareOutcome is the result of a queue discipline for both kinds of callers.
 type ShareOutcome struct {
 	Discipline string
 	Passenger  CallerOutcome
 	Reseller   CallerOutcome
 }
 
-// CallerOutcome sums up one caller's requests in the surge.
+// CallerOutcome summarizes the requests of a caller in the surge.
 type CallerOutcome struct {
 	Answered    int
 	NotRunShare float64
 	P50, P99    time.Duration
 }
 
-// Disciplines maps the names of the queue disciplines.
+// Disciplines lists the queue disciplines with their names.
 var Disciplines = []struct {
 	Name  string
 	Value fairqueue.Discipline
@@ -223,8 +222,8 @@
 	{"dominant resource", fairqueue.DominantResource},
 }
 
-// Shares lets a reseller open twice as many connections as there are passengers,
-// each of which sends twenty times as much, and compares the disciplines.
+// Shares compares the queue disciplines while a reseller uses twice as many connections as all
+// passengers, each with twenty times the requests of a passenger's connection.
 func Shares() []ShareOutcome {
 	const resellers, passengers, greed = 300, 150, 20
 	var outcomes []ShareOutcome
@@ -244,7 +243,7 @@
 func callerOutcome(operations []history.Operation, caller string) CallerOutcome {
 	outcome := CallerOutcome{}
 	var times []time.Duration
-	refused := 0
+	rejected := 0
 	for _, operation := range operations {
 		if operation.Caller != caller || operation.Start < surgeFrom || operation.Start >= surgeTo {
 			continue
@@ -252,16 +251,16 @@
 		if operation.Outcome == history.OK {
 			times = append(times, operation.End-operation.Start)
 		} else {
-			refused++
+			rejected++
 		}
 	}
 	outcome.Answered = len(times)
-	outcome.NotRunShare = float64(refused) / float64(max(refused+len(times), 1))
+	outcome.NotRunShare = float64(rejected) / float64(max(rejected+len(times), 1))
 	outcome.P50, outcome.P99 = measure.Quantile(times, 0.5), measure.Quantile(times, 0.99)
 	return outcome
 }
 
-// PrintShares writes the comparison of disciplines as a Markdown table.
+// PrintShares writes the outcomes as a Markdown table.
 func PrintShares(out io.Writer, outcomes []ShareOutcome) {
 	_, _ = fmt.Fprintf(out, "| discipline | caller | answered | refused | p50 | p99 |\n|---|---|---|---|---|---|\n")
 	for _, outcome := range outcomes {
--- a/internal/lab/experiment/plot.go
+++ b/internal/lab/experiment/plot.go
@@ -12,10 +12,10 @@
 	"dewknot/internal/lab/history"
 )
 
-// binWidth is the resolution of the plot of acknowledged writes.
+// binWidth is the time resolution of the plot.
 const binWidth = 250 * time.Millisecond
 
-// lineColors tell the designs apart.
+// lineColors are the colors of the designs.
 var lineColors = []color.RGBA{
 	{R: 0x1b, G: 0x6c, B: 0xa8, A: 0xff},
 	{R: 0xc4, G: 0x3c, B: 0x39, A: 0xff},
@@ -24,11 +24,11 @@
 	{R: 0xd0, G: 0x8a, B: 0x1e, A: 0xff},
 }
 
-// PlotWrites draws the acknowledged writes of the group whose primary is cut off,
-// one line a design, for one deployment.
+// PlotWrites plots, for a deployment, the acknowledged writes of the group whose primary is
+// isolated, with one line per design.
 func PlotWrites(path, deployment string, outcomes []Outcome) error {
 	canvas := plot.New()
-	canvas.Title.Text = "Acknowledged writes of the group whose primary is cut off at 16 s: " + deployment
+	canvas.Title.Text = "Acknowledged writes of the group whose primary is isolated at 16 s: " + deployment
 	canvas.X.Label.Text = "seconds"
 	canvas.Y.Label.Text = "writes per second"
 	canvas.Legend.Top = true
@@ -53,10 +53,10 @@
 }
 
 func writeRate(operations []history.Operation) plotter.XYs {
-	bins := make([]float64, runTime/binWidth)
+	bins := make([]float64, runDuration/binWidth)
 	for _, operation := range operations {
-		counts := operation.Type != history.Read && operation.Outcome == history.OK && operation.Group == "group0"
-		if bin := int(operation.End / binWidth); counts && bin < len(bins) {
+		relevant := operation.Type != history.Read && operation.Outcome == history.OK && operation.Group == "group0"
+		if bin := int(operation.End / binWidth); relevant && bin < len(bins) {
 			bins[bin]++
 		}
 	}
