--- a/internal/lab/capacity/plan_test.go
+++ b/internal/lab/capacity/plan_test.go
@@ -29,7 +29,7 @@
 	return path
 }
 
-func TestFilesAreStrict(t *testing.T) {
+func TestInvalidFilesAreRejected(t *testing.T) {
 	_, err := LoadSize(write(t, "size.toml", "nodes = 3\nnodez = 4\n"))
 	must.StrContains(t, err.Error(), ":2: unknown key \"nodez\"")
 	_, err = LoadSize(write(t, "size.toml", "nodes = 3\n"))
@@ -39,7 +39,7 @@
 	must.StrContains(t, err.Error(), CallerMemory)
 }
 
-func TestPlanSaysWhatDoesNotFit(t *testing.T) {
+func TestPlanReportsExceededLimits(t *testing.T) {
 	slopes := Slopes{}
 	for _, name := range Names {
 		slopes.Slope = append(slopes.Slope, Slope{Name: name, Intercept: 1, Slope: 1})
--- a/internal/lab/capacity/slopes.go
+++ b/internal/lab/capacity/slopes.go
@@ -1,5 +1,5 @@
-// Package capacity works out, from measured slopes, what each role of a node
-// needs at a given size of the fleet.
+// Package capacity computes, from measured costs, what each role of a node needs at a given fleet
+// size.
 package capacity
 
 import (
@@ -14,34 +14,34 @@
 	"github.com/pkg/errors"
 )
 
-// Slope is a straight line through measurements of one cost at several sizes.
+// Slope is a line fitted to measurements of a cost at several sizes.
 type Slope struct {
-	// Name identifies the cost; Names lists those that a plan needs.
+	// Name identifies the cost, see Names.
 	Name string `toml:"name"`
-	// Unit is the unit of the cost, Per what the line is drawn over.
+	// Unit is the unit of the cost, Per the unit of the size.
 	Unit      string  `toml:"unit"`
 	Per       string  `toml:"per"`
 	Intercept float64 `toml:"intercept"`
 	Slope     float64 `toml:"slope"`
-	// WorstError is the largest distance of a measurement from the line, as a
-	// share of the largest measurement.
+	// WorstError is the largest distance of a measurement from the line, as a fraction of the
+	// largest measurement.
 	WorstError float64   `toml:"worst_error"`
 	Sizes      []float64 `toml:"sizes"`
 	Values     []float64 `toml:"values"`
-	// Command is what made the measurement.
+	// Command is the command that made the measurements.
 	Command string `toml:"command"`
 }
 
-// nonLinear is the error from which a line is called out as no good fit.
-const nonLinear = 0.15
+// maxLinearError is the largest WorstError of a slope that counts as linear.
+const maxLinearError = 0.15
 
-// minimumSizes is how many sizes a line needs.
-const minimumSizes = 4
+// minSizes is the minimum number of measurements of a slope.
+const minSizes = 4
 
-// Fit draws the least-squares line through measurements.
+// Fit computes the least-squares line of measurements.
 func Fit(name, unit, per, command string, sizes, values []float64) (Slope, error) {
-	if len(sizes) != len(values) || len(sizes) < minimumSizes {
-		return Slope{}, errors.Errorf("slope %s has %d sizes and %d values; measure at %d sizes or more", name, len(sizes), len(values), minimumSizes)
+	if len(sizes) != len(values) || len(sizes) < minSizes {
+		return Slope{}, errors.Errorf("slope %s has %d sizes and %d values; measure at %d sizes or more", name, len(sizes), len(values), minSizes)
 	}
 	meanSize, meanValue := mean(sizes), mean(values)
 	covariance, variance := 0.0, 0.0
@@ -76,10 +76,10 @@
 // At returns the line's value at a size.
 func (s Slope) At(size float64) float64 { return s.Intercept + s.Slope*size }
 
-// Linear reports whether the line fits its measurements.
-func (s Slope) Linear() bool { return s.WorstError <= nonLinear }
+// Linear reports whether the line fits its measurements well enough.
+func (s Slope) Linear() bool { return s.WorstError <= maxLinearError }
 
-// Slopes is a slopes file.
+// Slopes is the content of a slopes file.
 type Slopes struct {
 	// Machine describes where the slopes were measured.
 	Machine string  `toml:"machine"`
@@ -112,7 +112,7 @@
 	ControlMemory, ChangeBytes, ChangeCPU, ChangeSpread, ChurnBytes, ChurnCPU, BackendConnection, GroupMemory,
 }
 
-// Size is a size file: what the fleet must carry and what it may cost.
+// Size is the content of a size file: the load of a fleet and the limits of its cost.
 type Size struct {
 	Nodes                int     `toml:"nodes"`
 	Groups               int     `toml:"groups"`
@@ -126,11 +126,11 @@
 	ConfigChangesPerDay  float64 `toml:"config_changes_per_day"`
 	FailuresPerDay       float64 `toml:"failures_per_day"`
 	RestartsPerDay       float64 `toml:"restarts_per_day"`
-	// PollSeconds is the interval of status questions (settings: poll_interval).
+	// PollSeconds is the interval of status queries (setting poll_interval).
 	PollSeconds float64 `toml:"poll_seconds"`
-	// ConnectMilliseconds is the cost of a new back-end connection (brief).
+	// ConnectMilliseconds is the time to open a back-end connection.
 	ConnectMilliseconds float64 `toml:"connect_milliseconds"`
-	// Limits.
+	// The remaining fields are limits, except ElectionSeconds and MeasuredGapSeconds.
 	ControlCorePercent   float64 `toml:"control_core_percent"`
 	ControlMegabytes     float64 `toml:"control_megabytes"`
 	ControlKilobytes     float64 `toml:"control_kilobytes_per_second"`
@@ -160,7 +160,7 @@
 	return errors.Wrapf(err, "file %s", path)
 }
 
-// LoadSize reads a size file; unknown keys and impossible values are refused.
+// LoadSize reads a size file. Unknown keys and missing or non-positive values are errors.
 func LoadSize(path string) (Size, error) {
 	size := Size{}
 	if err := decodeStrict(path, &size); err != nil {
@@ -187,7 +187,7 @@
 	return size, nil
 }
 
-// LoadSlopes reads a slopes file; a missing slope is refused by name.
+// LoadSlopes reads a slopes file. Unknown keys and missing slopes are errors.
 func LoadSlopes(path string) (Slopes, error) {
 	slopes := Slopes{}
 	if err := decodeStrict(path, &slopes); err != nil {
@@ -200,7 +200,7 @@
 		}
 	}
 	if len(missing) > 0 {
-		return slopes, errors.Errorf("slopes file %s lacks: %s; make it again with 'dewknot measure'", path, strings.Join(missing, ", "))
+		return slopes, errors.Errorf("slopes file %s is missing: %s; recreate it with 'dewknot measure'", path, strings.Join(missing, ", "))
 	}
 	return slopes, nil
 }
