--- a/internal/lab/measure/summary.go
+++ b/internal/lab/measure/summary.go
@@ -1,6 +1,5 @@
-// Package measure computes the project's measures from recorded histories: the
-// share of reads served by replicas, the failover gap, and the times and
-// outcomes of requests.
+// Package measure computes statistics of recorded histories: the share of reads served by replicas,
+// the failover gap, and latencies and outcomes of requests.
 package measure
 
 import (
@@ -15,21 +14,21 @@
 	"dewknot/internal/lab/history"
 )
 
-// Row sums up the requests of one kind.
+// Row summarizes the requests of a kind.
 type Row struct {
 	Kind                string
 	OK, NotRun, Unknown int
 	P50, P99            time.Duration
 }
 
-// Summary sums up a run.
+// Summary summarizes a run.
 type Summary struct {
 	Rows []Row
-	// ReplicaReads and PrimaryReads count answered reads by who served them.
+	// ReplicaReads and PrimaryReads count the successful reads by the server's role.
 	ReplicaReads, PrimaryReads int
 }
 
-// ReplicaShare is the share of answered reads that replicas served.
+// ReplicaShare returns the fraction of successful reads that replicas served.
 func (s *Summary) ReplicaShare() float64 {
 	total := s.ReplicaReads + s.PrimaryReads
 	if total == 0 {
@@ -45,7 +44,7 @@
 	histogramDigits  = 3
 )
 
-// Summarize computes the summary of operations that start in a span.
+// Summarize summarizes the operations that start at from or later and before to.
 func Summarize(operations []history.Operation, from, to time.Duration) *Summary {
 	rows := map[string]*Row{}
 	times := map[string]*hdrhistogram.Histogram{}
@@ -97,7 +96,7 @@
 	}
 }
 
-// Totals adds up the outcomes of all kinds.
+// Totals returns the number of requests of all kinds by outcome.
 func (s *Summary) Totals() (succeeded, notRun, unknown int) {
 	for _, row := range s.Rows {
 		succeeded += row.OK
@@ -115,12 +114,11 @@
 	}
 }
 
-// FailoverGap returns how long writes of a group went without an
-// acknowledgement around the loss of its primary: from the loss, or the last
-// acknowledgement shortly after it, to the next one. ok is false if writes did
-// not resume.
+// FailoverGap returns the time from the loss of a group's primary to the next acknowledged write.
+// Acknowledgements shortly after the loss are ignored, as they may have been in flight. ok is false
+// if writes did not resume.
 func FailoverGap(operations []history.Operation, group string, lostAt time.Duration) (gap time.Duration, ok bool) {
-	// inFlight is how long acknowledgements already under way may still arrive.
+	// inFlight is how long after the loss acknowledgements are ignored.
 	const inFlight = 100 * time.Millisecond
 	resumed := time.Duration(0)
 	for _, operation := range operations {
@@ -135,7 +133,7 @@
 	return resumed - lostAt, resumed > 0
 }
 
-// Quantile returns a quantile of durations, which it sorts; 0 if there are none.
+// Quantile returns a quantile of durations, or 0 if there are none. It sorts the durations.
 func Quantile(durations []time.Duration, quantile float64) time.Duration {
 	if len(durations) == 0 {
 		return 0
