--- a/internal/lab/rounds/rounds.go
+++ b/internal/lab/rounds/rounds.go
@@ -1,5 +1,5 @@
-// Package rounds reads the journal of measured rounds and draws how a
-// deployment's days were worth from one round to the next.
+// Package rounds reads scored rounds of simulated runs from journal entries and plots how the scores
+// of a deployment changed.
 package rounds
 
 import (
@@ -15,7 +15,7 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Entry is a scored round of one deployment.
+// Entry is a scored round of a deployment.
 type Entry struct {
 	Command string    `json:"cmd"`
 	Site    string    `json:"site"`
@@ -24,64 +24,64 @@
 	Days    []Day     `json:"days"`
 }
 
-// Day is one day of a round.
+// Day is a simulated run of a round.
 type Day struct {
 	Name  string  `json:"name"`
 	Worth float64 `json:"G"`
-	// Baseline is the worth that scores 0.
+	// Baseline is the Worth for which the score is 0.
 	Baseline float64 `json:"naive"`
 }
 
-// scoreCommand is the command whose entries hold whole rounds.
+// scoreCommand is the command whose entries contain complete rounds.
 const scoreCommand = "score"
 
-// drawnPrefix begins the names of days that were drawn for one round only.
-const drawnPrefix = "fresh-"
+// oneTimePrefix is the name prefix of runs that only occur in one round.
+const oneTimePrefix = "fresh-"
 
-// Read returns the rounds of a deployment in the order in which they began.
+// Read returns the rounds of a deployment, sorted by start time.
 func Read(paths []string, site string) ([]Entry, error) {
 	var entries []Entry
 	for _, path := range paths {
 		content, err := os.ReadFile(path)
 		if err != nil {
-			return nil, errors.Wrap(err, "read a journal entry; check its path")
+			return nil, errors.Wrap(err, "read journal entry")
 		}
 		var entry Entry
 		if err := json.Unmarshal(content, &entry); err != nil {
-			return nil, errors.Wrapf(err, "journal entry %s is no JSON; restore it as it was written", path)
+			return nil, errors.Wrapf(err, "journal entry %s is no JSON object of a round", path)
 		}
 		if entry.Command == scoreCommand && entry.Site == site && len(entry.Days) > 0 {
 			entries = append(entries, entry)
 		}
 	}
 	if len(entries) == 0 {
-		return nil, errors.Errorf("the journal holds no scored round of %q; score it, or name another site", site)
+		return nil, errors.Errorf("the journal has no scored round of %q; score it, or name another site", site)
 	}
 	slices.SortFunc(entries, func(first, second Entry) int { return strings.Compare(first.At[0], second.At[0]) })
 	return entries, nil
 }
 
-// standard returns the days that every round plays.
-func standard(entry *Entry) []Day {
-	var days []Day
-	for _, day := range entry.Days {
-		if !strings.HasPrefix(day.Name, drawnPrefix) {
-			days = append(days, day)
+// standardRuns returns the runs that are part of every round.
+func standardRuns(entry *Entry) []Day {
+	var runs []Day
+	for _, run := range entry.Days {
+		if !strings.HasPrefix(run.Name, oneTimePrefix) {
+			runs = append(runs, run)
 		}
 	}
-	return days
+	return runs
 }
 
-// series are the values of one set of bars.
+// series is a set of bars.
 type series struct {
 	label  string
 	values plotter.Values
 	color  color.RGBA
 }
 
-// Plot draws the baseline, the first and the last round side by side.
+// Plot writes a bar chart of the baseline, the first and the last round.
 func Plot(path string, entries []Entry) error {
-	first, last := standard(&entries[0]), standard(&entries[len(entries)-1])
+	first, last := standardRuns(&entries[0]), standardRuns(&entries[len(entries)-1])
 	drawn := []series{
 		{"baseline (scores 0)", nil, color.RGBA{R: 0xb0, G: 0xb0, B: 0xb0, A: 0xff}},
 		{"first round", nil, color.RGBA{R: 0xd0, G: 0x8a, B: 0x1e, A: 0xff}},
@@ -95,7 +95,7 @@
 		}
 	}
 	canvas := plot.New()
-	canvas.Title.Text = "Worth of the standard days: " + entries[0].Site
+	canvas.Title.Text = "Worth of the standard runs: " + entries[0].Site
 	canvas.Y.Label.Text = "worth"
 	canvas.Y.Min, canvas.Y.Max = 0, 1.15
 	canvas.Legend.Top = true
--- a/internal/lab/rounds/rounds_test.go
+++ b/internal/lab/rounds/rounds_test.go
@@ -15,7 +15,7 @@
 	return path
 }
 
-func TestRoundsAreReadInOrderAndDrawn(t *testing.T) {
+func TestRoundsAreSortedAndPlotted(t *testing.T) {
 	paths := []string{
 		write(t, "b.json", `{"cmd":"score","site":"s","at":["2","3"],"days":[{"name":"quiet-1","G":0.9,"naive":0.7},{"name":"fresh-1","G":0.1}]}`),
 		write(t, "a.json", `{"cmd":"score","site":"s","at":["1","2"],"days":[{"name":"quiet-1","G":0.8,"naive":0.7}]}`),
@@ -25,7 +25,7 @@
 	must.NoError(t, err)
 	must.Len(t, 2, entries)
 	must.Eq(t, 0.8, entries[0].Days[0].Worth)
-	must.Len(t, 1, standard(&entries[1]))
+	must.Len(t, 1, standardRuns(&entries[1]))
 	out := filepath.Join(t.TempDir(), "plot.png")
 	must.NoError(t, Plot(out, entries))
 	info, err := os.Stat(out)
