--- a/internal/lab/trial/trial.go
+++ b/internal/lab/trial/trial.go
@@ -1,5 +1,5 @@
-// Package trial works out what a policy would change for requests that were
-// recorded under another.
+// Package trial compares two policies: it computes what the new one would change for requests that
+// were recorded under the old one.
 package trial
 
 import (
@@ -9,21 +9,21 @@
 	"dewknot/internal/postgres/policy"
 )
 
-// Row sums up one kind of request.
+// Row summarizes the requests of a kind.
 type Row struct {
 	Kind     string
 	Requests int
-	// Rerouted counts requests that would need other freshness or another role of
-	// server.
+	// Rerouted counts reads that would need a different freshness or a different server role.
 	Rerouted int
-	// Refused counts requests that would be refused and were not; Admitted the reverse.
+	// Refused counts requests that only the new policy refuses, Admitted those that only the old
+	// one refuses.
 	Refused, Admitted int
-	// TooLate counts requests that were answered after more than the new rule's
-	// wait: in the same load they might be refused.
+	// TooLate counts answered requests that took longer than the new rule's wait. They might be
+	// rejected under the same load.
 	TooLate int
 }
 
-// Compare sums up, by kind, what would change from one table to another.
+// Compare returns, sorted by kind, what would change from one policy table to another.
 func Compare(before, after *policy.Table, operations []history.Operation) []Row {
 	rows := map[string]*Row{}
 	for _, operation := range operations {
@@ -47,18 +47,18 @@
 
 func (r *Row) add(before, after policy.Rule, operation history.Operation) {
 	r.Requests++
-	reads := operation.Type == history.Read
+	isRead := operation.Type == history.Read
 	otherFreshness := before.Freshness != after.Freshness || before.MaxLag != after.MaxLag
 	switch {
 	case after.Refuse && !before.Refuse:
 		r.Refused++
 	case before.Refuse && !after.Refuse:
 		r.Admitted++
-	case reads && (otherFreshness || before.Write != after.Write):
+	case isRead && (otherFreshness || before.Write != after.Write):
 		r.Rerouted++
 	}
-	answered := operation.Outcome == history.OK
-	if answered && !after.Refuse && operation.End-operation.Start > after.Wait {
+	succeeded := operation.Outcome == history.OK
+	if succeeded && !after.Refuse && operation.End-operation.Start > after.Wait {
 		r.TooLate++
 	}
 }
