--- a/internal/lab/loopback/loopback.go
+++ b/internal/lab/loopback/loopback.go
@@ -1,5 +1,5 @@
-// Package loopback gives out loopback addresses for processes and tests that listen by
-// number.
+// Package loopback allocates loopback addresses for processes and tests that need a fixed address to
+// listen on.
 package loopback
 
 import (
@@ -11,15 +11,14 @@
 	"github.com/pkg/errors"
 )
 
-// host is a loopback address of this process alone. On an address that processes share, a
-// port that is free now may be another one's, or the near end of some connection, when the
-// caller listens.
+// host is a loopback address that only this process uses. On a shared address, another process or an
+// outgoing connection could take a free port before the caller listens on it.
 var host = fmt.Sprintf("127.%d.%d.%d", 2+os.Getpid()>>16&0x7f, os.Getpid()>>8&0xff, 1+os.Getpid()&0x7f)
 
-// given are the addresses that were given out.
-var given sync.Map
+// allocated holds the allocated addresses.
+var allocated sync.Map
 
-// Free returns an address that nobody else uses, for sockets of both kinds.
+// Free returns a free address for TCP and UDP. It never returns an address twice.
 func Free() (string, error) {
 	for {
 		listener, err := net.Listen("tcp4", host+":0")
@@ -30,7 +29,7 @@
 		if err := listener.Close(); err != nil {
 			return "", errors.Wrap(err, "find a free port")
 		}
-		if _, taken := given.LoadOrStore(address, true); !taken {
+		if _, taken := allocated.LoadOrStore(address, true); !taken {
 			return address, nil
 		}
 	}
--- a/internal/lab/loopback/loopback_test.go
+++ b/internal/lab/loopback/loopback_test.go
@@ -8,9 +8,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestAddressesAreAProcessesOwn: no address is given out twice, and none is on the address
-// from which every process's connections start, where a free port may be taken at any time.
-func TestAddressesAreAProcessesOwn(t *testing.T) {
+// TestAddressesAreNotShared checks that no address is allocated twice and none is on 127.0.0.1,
+// where an outgoing connection of any process may take a free port.
+func TestAddressesAreNotShared(t *testing.T) {
 	seen := map[string]bool{}
 	for range 200 {
 		address, err := Free()
