--- a/examples/examples.go
+++ b/examples/examples.go
@@ -1,5 +1,5 @@
-// Package examples holds the policies of the two deployments that the brief
-// describes. They are explained in docs/POLICIES.md.
+// Package examples holds the policies of the two example deployments. docs/POLICIES.md explains
+// them.
 package examples
 
 import _ "embed" // for the policy programs
--- a/examples/shirebound.star
+++ b/examples/shirebound.star
@@ -1,25 +1,25 @@
 # Shirebound: coach booking and departures.
 service("bookings")
 
-# What is not named below is read as of now and may wait two seconds.
+# Requests of other kinds read current data and may wait two seconds.
 default(read = current(), wait = "2s", replica_wait = "150ms")
 
-# Passengers and resellers book and pay. A payment runs at most once.
+# Passengers and resellers book seats and pay. Payments are never retried.
 kind("seat_booking", read = session(), wait = "3s")
 kind("payment", read = session(), wait = "3s", repeatable = False)
 kind("departure_cancel", wait = "5s")
 
-# A passenger sees the own booking at once; others' bookings may show later.
+# Passengers see their own bookings immediately and those of others later.
 kind("own_booking", read = session(), wait = "2s", replica_wait = "250ms")
 
-# Handsets pull manifests before boarding.
+# Drivers' handsets read manifests before boarding.
 kind("manifest", read = current(), wait = "3s", replica_wait = "500ms")
 
-# The feed may lag, but not advertise a cancelled departure: so it reads as of
-# now, from a replica that has caught up, and waits for one rather long.
+# The timetable must not show a cancelled departure, so it reads current data.
+# It waits up to a second for a replica that has caught up.
 kind("timetable", read = current(), wait = "2s", replica_wait = "1s")
 
-# Yearly reports stay away in a burst.
+# Yearly reports are refused.
 kind("yearly_report", refuse = True, retry_after = "1h")
 
 share("passenger", 4)
