--- a/internal/lab/standin/database/client.go
+++ b/internal/lab/standin/database/client.go
@@ -12,7 +12,7 @@
 	"github.com/pkg/errors"
 )
 
-// Client calls a group's control address.
+// Client is a client of a group's control address.
 type Client struct {
 	base string
 	http *http.Client
@@ -30,7 +30,7 @@
 	}
 	response, err := c.http.Do(request)
 	if err != nil {
-		return errors.Wrap(err, "call the stand-in; name its control address")
+		return errors.Wrap(err, "call the control address; check that it is the address of a simulated database group")
 	}
 	defer func() { _ = response.Body.Close() }()
 	body, err := io.ReadAll(response.Body)
@@ -38,7 +38,7 @@
 		return errors.Wrap(err, "read answer")
 	}
 	if response.StatusCode != http.StatusOK {
-		return errors.Errorf("the stand-in refused: %s", strings.TrimSpace(string(body)))
+		return errors.Errorf("the simulated database group rejected the request: %s", strings.TrimSpace(string(body)))
 	}
 	if target == nil {
 		return nil
@@ -46,13 +46,13 @@
 	return errors.Wrap(json.Unmarshal(body, target), "decode answer")
 }
 
-// SetFault begins or ends a fault on a server, given by number or as "primary".
+// SetFault begins or ends a fault on a server, given by its number or "primary".
 func (c *Client) SetFault(server string, fault Fault, on bool, amount time.Duration) error {
 	values := url.Values{"server": {server}, "kind": {string(fault)}, "on": {fmt.Sprint(on)}, "amount": {amount.String()}}
 	return c.call(http.MethodPost, "/fault?"+values.Encode(), nil)
 }
 
-// Leader returns the primary of the highest term, or -1.
+// Leader returns the index of the primary with the highest term, or -1, and the number of servers.
 func (c *Client) Leader() (int, int, error) {
 	var rows []serverStatus
 	if err := c.call(http.MethodGet, "/status", &rows); err != nil {
