--- a/internal/base/eventlog/eventlog.go
+++ b/internal/base/eventlog/eventlog.go
@@ -26,9 +26,9 @@
 
 // The classes of events, the most important first.
 const (
-	// Belief: a change of the node's state or of its view of others, such as a start, a stop,
+	// StateChange: a change of the node's state or of its view of others, such as a start, a stop,
 	// or a dependency that is lost or regained.
-	Belief Class = iota
+	StateChange Class = iota
 	// Failure: a request that failed or was rejected.
 	Failure
 	// Success: a request that was served. Above the limit only a part is logged.
@@ -99,27 +99,27 @@
 
 // Vocabulary maps all events to their classes.
 var Vocabulary = map[Event]Class{
-	NodeStarted: Belief, NodeStopping: Belief, NodeStopped: Belief, SettingsRead: Belief,
-	SettingsRefused: Belief, StoreLost: Belief, StoreRegained: Belief, StoreRestored: Belief,
-	ConfigurationApplied: Belief, ConfigurationRefused: Belief, DirectoryListed: Belief,
-	ServerChanged: Belief, ServerGone: Belief, EntryRefused: Belief, ServerReborn: Belief,
-	ZonesEvacuated: Belief, PrimaryLacksLog: Belief, ServerUnreachable: Belief,
-	ServerReachable: Belief, DetourTaken: Belief, PeerSilent: Belief, MemberRemoved: Belief,
-	OwnerMoved: Belief, TrafficTold: Belief, LinkOpened: Belief, LinkEnded: Belief,
-	PrimaryAnnounced: Belief, PrimaryProved: Belief, PrimaryDenied: Belief, FailoverPhase: Belief,
-	FailoverLease: Belief, FailoverSurvey: Belief, FailoverWitnesses: Belief,
-	FailoverOrder: Belief, TenureChanged: Belief, TenureRound: Belief, VotersChanged: Belief,
-	VotersRefused: Belief, EraNotEnded: Belief, VoterRecovered: Belief, StepDown: Belief,
-	NodeIsolated: Belief, NodeDegraded: Belief, TransferDone: Belief, TransferInterrupted: Belief,
-	MessageLost: Belief, QuotaShare: Belief, QuotaHeldBack: Belief, RoomShort: Belief,
-	RoomRegained: Belief, AnswerUnproved: Failure, SessionRefused: Failure,
+	NodeStarted: StateChange, NodeStopping: StateChange, NodeStopped: StateChange, SettingsRead: StateChange,
+	SettingsRefused: StateChange, StoreLost: StateChange, StoreRegained: StateChange, StoreRestored: StateChange,
+	ConfigurationApplied: StateChange, ConfigurationRefused: StateChange, DirectoryListed: StateChange,
+	ServerChanged: StateChange, ServerGone: StateChange, EntryRefused: StateChange, ServerReborn: StateChange,
+	ZonesEvacuated: StateChange, PrimaryLacksLog: StateChange, ServerUnreachable: StateChange,
+	ServerReachable: StateChange, DetourTaken: StateChange, PeerSilent: StateChange, MemberRemoved: StateChange,
+	OwnerMoved: StateChange, TrafficTold: StateChange, LinkOpened: StateChange, LinkEnded: StateChange,
+	PrimaryAnnounced: StateChange, PrimaryProved: StateChange, PrimaryDenied: StateChange, FailoverPhase: StateChange,
+	FailoverLease: StateChange, FailoverSurvey: StateChange, FailoverWitnesses: StateChange,
+	FailoverOrder: StateChange, TenureChanged: StateChange, TenureRound: StateChange, VotersChanged: StateChange,
+	VotersRefused: StateChange, EraNotEnded: StateChange, VoterRecovered: StateChange, StepDown: StateChange,
+	NodeIsolated: StateChange, NodeDegraded: StateChange, TransferDone: StateChange, TransferInterrupted: StateChange,
+	MessageLost: StateChange, QuotaShare: StateChange, QuotaHeldBack: StateChange, RoomShort: StateChange,
+	RoomRegained: StateChange, AnswerUnproved: Failure, SessionRefused: Failure,
 	RequestServed: Success, RequestFailed: Failure, AttemptFailed: Failure,
-	TransactionRolledBack: Failure, LinesDropped: Belief,
+	TransactionRolledBack: Failure, LinesDropped: StateChange,
 }
 
 // shares are the fractions of the lines per second that each class may use. Their sum is 1,
 // so that no class uses the share of another.
-var shares = [classes]float64{Belief: 0.4, Failure: 0.45, Success: 0.15}
+var shares = [classes]float64{StateChange: 0.4, Failure: 0.45, Success: 0.15}
 
 // queueSize is the maximum number of lines that wait for the writer.
 const queueSize = 1024
@@ -177,7 +177,7 @@
 )
 
 // lastClasses maps each level to the least important class that it writes.
-var lastClasses = map[Level]Class{Everything: Success, Problems: Failure, StateChanges: Belief}
+var lastClasses = map[Level]Class{Everything: Success, Problems: Failure, StateChanges: StateChange}
 
 // Config configures a log.
 type Config struct {
--- a/internal/base/propertytest/runs.go
+++ b/internal/base/propertytest/runs.go
@@ -8,9 +8,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// Plays returns the number of runs of a randomized test: the value of an environment variable,
+// Runs returns the number of runs of a randomized test: the value of an environment variable,
 // or the usual number if it is not set.
-func Plays(t *testing.T, variable string, usual uint64) uint64 {
+func Runs(t *testing.T, variable string, usual uint64) uint64 {
 	t.Helper()
 	text, set := os.LookupEnv(variable)
 	if !set {
--- a/internal/base/stall/stall.go
+++ b/internal/base/stall/stall.go
@@ -65,9 +65,9 @@
 	}
 }
 
-// Began returns the time of the first byte. It returns the current time if no byte was reported
+// FirstByteTime returns the time of the first byte. It returns the current time if no byte was reported
 // or the context is not one of WithLimit.
-func Began(ctx context.Context) time.Time {
+func FirstByteTime(ctx context.Context) time.Time {
 	if p, limited := ctx.Value(key{}).(*progress); limited {
 		p.mu.Lock()
 		defer p.mu.Unlock()
--- a/internal/base/stall/stall_test.go
+++ b/internal/base/stall/stall_test.go
@@ -24,7 +24,7 @@
 			Received(ctx, minProgressBytes)
 			must.NoError(t, ctx.Err())
 		}
-		must.Eq(t, began, Began(ctx))
+		must.Eq(t, began, FirstByteTime(ctx))
 		time.Sleep(401 * time.Millisecond)
 		must.ErrorIs(t, context.Cause(ctx), ErrStalled)
 	})
--- a/internal/cli/capacity.go
+++ b/internal/cli/capacity.go
@@ -79,7 +79,7 @@
 		{"groups", func() ([]capacity.Slope, error) { return single(benchmark.GroupMachines(progress)) }},
 		{"backend", func() ([]capacity.Slope, error) { return single(benchmark.BackendConnections(env.ctx, progress)) }},
 		{"callers", func() ([]capacity.Slope, error) { return single(benchmark.IdleCallers(env.ctx, c.Callers, progress)) }},
-		{"status", func() ([]capacity.Slope, error) { return benchmark.StatusQuestions(progress) }},
+		{"status", func() ([]capacity.Slope, error) { return benchmark.StatusQueries(progress) }},
 		{"path", func() ([]capacity.Slope, error) { return benchmark.Statements(env.ctx, progress) }},
 	}
 	var all []capacity.Slope
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -64,16 +64,16 @@
 		return err
 	}
 	log.Write(eventlog.NodeStarted, zap.String("zone", loaded.Zone))
-	dialer := &platform.Dialer{Who: loaded.Name}
+	dialer := &platform.Dialer{NodeName: loaded.Name}
 	meter := new(traffic.Meter)
-	peerClient := &relay.Asker{Accounting: accounting(meter)}
+	peerClient := &relay.Client{Accounting: accounting(meter)}
 	nodePorts := newPorts(&loaded, dialer, peerClient)
 	node, err := newNode(&loaded, nodePorts, log)
 	if err != nil {
 		return err
 	}
 	dialer.Connect = func(ctx context.Context, address, id string) (net.Conn, error) {
-		if via, indirect := node.DetourTo(id); indirect {
+		if via, indirect := node.IndirectPathTo(id); indirect {
 			return peerClient.Tunnel(ctx, via, id)
 		}
 		conn, err := platform.ConnectDirectly(ctx, address)
@@ -147,11 +147,11 @@
 		advertised = loaded.Advertise
 	}
 	return proxy.Options{
-		Name: loaded.Name, Zone: loaded.Zone, PeerAddress: advertised, Seeds: loaded.Seeds, Regions: loaded.Regions, Life: rand.Text(),
+		Name: loaded.Name, Zone: loaded.Zone, PeerAddress: advertised, Seeds: loaded.Seeds, Regions: loaded.Regions, Incarnation: rand.Text(),
 		ConfigurationBound: loaded.ConfigurationBound.Duration, DrainBound: loaded.DrainBound.Duration, EvacuationBound: loaded.EvacuationBound.Duration,
 		ColdOverage: loaded.ColdOverage, ColdSlack: loaded.ColdSlack,
 		StopGrace: loaded.StopGrace.Duration, Kinds: platform.Kinds,
-		Agreed: loaded.UnfencedPromotions, MessageAddress: loaded.Messages,
+		UsesTenures: loaded.UnfencedPromotions, MessageAddress: loaded.Messages,
 		Quotas:       quota.Bounds{Window: loaded.QuotaWindow.Duration, Overage: loaded.QuotaOverage, Slack: loaded.QuotaSlack},
 		TokenAddress: loaded.Tokens, FirstStart: loaded.FirstStart,
 		Capacity:         network.Capacity{Processors: loaded.Processors, LinkMbps: loaded.LinkMbps, MemoryMB: loaded.MemoryLimitMB},
@@ -159,7 +159,7 @@
 	}
 }
 
-func newPorts(loaded *settings.Proxy, dialer upstream.Dialer, peerClient *relay.Asker) proxy.Ports {
+func newPorts(loaded *settings.Proxy, dialer upstream.Dialer, peerClient *relay.Client) proxy.Ports {
 	return proxy.Ports{
 		Store: platform.NewStore(loaded.Store, peerClient.Meter), Dialer: dialer,
 		Promoter: platform.NewPromoter(loaded.Promotions), Decoder: platform.Decoder{}, Client: platform.NewCaller,
--- a/internal/lab/benchmark/nodes.go
+++ b/internal/lab/benchmark/nodes.go
@@ -19,12 +19,12 @@
 	// BytesPerSecond is a node's membership traffic in both directions while idle. CorePercent is
 	// the process's CPU time per node while idle.
 	BytesPerSecond, CorePercent float64
-	// Spreads holds a result for each disturbance.
-	Spreads []NodesSpread
+	// Propagation holds a result for each disturbance.
+	Propagation []PropagationResult
 }
 
-// NodesSpread says how long changes took to be in force on all nodes.
-type NodesSpread struct {
+// PropagationResult says how long changes took to be in force on all nodes.
+type PropagationResult struct {
 	Disturbance string
 	P50, Max    time.Duration
 	Late        int // changes that weren't in force on all nodes within the timeout
@@ -62,7 +62,7 @@
 			return nil, err
 		}
 		spread.Disturbance = name
-		result.Spreads = append(result.Spreads, spread)
+		result.Propagation = append(result.Propagation, spread)
 	}
 	return result, nil
 }
@@ -81,13 +81,13 @@
 	r.CorePercent = 100 * (cpuTime() - cpu).Seconds() / scale
 }
 
-func measureChanges(ctx context.Context, running *fleet.Fleet, changes int, storeDown bool, number *int) (NodesSpread, error) {
-	spread := NodesSpread{}
+func measureChanges(ctx context.Context, running *fleet.Fleet, changes int, storeDown bool, number *int) (PropagationResult, error) {
+	spread := PropagationResult{}
 	var times []time.Duration
 	for range changes {
 		*number++
 		node := running.Nodes[*number*7%len(running.Nodes)]
-		_, replaced, err := node.PolicySource("bookings")
+		_, replaced, err := node.ActivePolicy("bookings")
 		if err != nil {
 			return spread, err
 		}
--- a/internal/lab/benchmark/path.go
+++ b/internal/lab/benchmark/path.go
@@ -322,9 +322,9 @@
 	}
 }
 
-// StatusQuestions measures the CPU time and the bytes of status queries. The CPU time includes the
+// StatusQueries measures the CPU time and the bytes of status queries. The CPU time includes the
 // simulated server, so it is an upper bound.
-func StatusQuestions(progress func(string, ...any)) ([]capacity.Slope, error) {
+func StatusQueries(progress func(string, ...any)) ([]capacity.Slope, error) {
 	running, err := startFleet(1, nil)
 	if err != nil {
 		return nil, err
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -49,7 +49,7 @@
 		ToClients: 3 * time.Millisecond, Nodes: 9, Groups: 3, Slots: slots, Connections: connections, ConnectCost: 10 * time.Millisecond,
 		ReadTime: readTime, WriteTime: writeTime, ElectionDelay: electionDelay, ReceiveDelay: time.Millisecond,
 		Table: sim.DefaultTable(), Group: group.DefaultSettings(),
-		Workload: sim.Workload{Clients: clientCount, Think: thinkTime, Carry: 0.5, Mix: mix, SurgeFrom: surgeFrom, SurgeTo: surgeTo, Surge: surgeFactor},
+		Workload: sim.Workload{Clients: clientCount, Think: thinkTime, CarryShare: 0.5, Mix: mix, SurgeFrom: surgeFrom, SurgeTo: surgeTo, SurgeFactor: surgeFactor},
 		Faults: []sim.Fault{
 			{At: lagFrom, For: surgeTo - lagFrom, Kind: sim.LagReplicas, Group: 0, Lag: replicaLag},
 			{At: lagFrom, For: surgeTo - lagFrom, Kind: sim.LagReplicas, Group: 1, Lag: replicaLag},
@@ -102,10 +102,10 @@
 		{"replicas, no session rule", func(s *sim.Settings) { s.Group.Mutations.SkipFloor = true }},
 		{"read index for every read", func(s *sim.Settings) {
 			changeRules(s, func(rule *policy.Rule) { rule.Freshness = policy.Current })
-			s.Workload.Carry = 0
+			s.Workload.CarryShare = 0
 		}},
-		{"chosen, no position carried", func(s *sim.Settings) { s.Workload.Carry = 0 }},
-		{"chosen, position carried", func(s *sim.Settings) { s.Workload.Carry = 1 }},
+		{"chosen, no position carried", func(s *sim.Settings) { s.Workload.CarryShare = 0 }},
+		{"chosen, position carried", func(s *sim.Settings) { s.Workload.CarryShare = 1 }},
 	}
 }
 
@@ -188,7 +188,7 @@
 	var outcomes []OwnerOutcome
 	for _, loss := range []sim.FaultKind{sim.KillOwner, sim.PauseOwner} {
 		settings := Deployments()[0].Settings
-		settings.Workload.Surge = 1
+		settings.Workload.SurgeFactor = 1
 		settings.Faults = []sim.Fault{{At: isolateAt, For: lostFor, Kind: loss}}
 		recorded, _ := sim.Run(settings)
 		outcome := OwnerOutcome{Loss: string(loss), Violations: len(check.History(recorded).Violations)}
@@ -232,8 +232,8 @@
 		settings.Faults = nil
 		settings.Group.Discipline = discipline.Value
 		settings.Workload.Clients = resellers + passengers
-		settings.Workload.Resellers, settings.Workload.Greed = resellers, greed
-		settings.Workload.Surge = 1
+		settings.Workload.Resellers, settings.Workload.ResellerFactor = resellers, greed
+		settings.Workload.SurgeFactor = 1
 		recorded, _ := sim.Run(settings)
 		outcomes = append(outcomes, ShareOutcome{discipline.Name, callerOutcome(recorded.Operations, "passenger"), callerOutcome(recorded.Operations, "reseller")})
 	}
--- a/internal/lab/explain/explain.go
+++ b/internal/lab/explain/explain.go
@@ -164,7 +164,7 @@
 // concerns reports whether a line is a state change of one of the services or servers, or of
 // the node as a whole.
 func concerns(line *Line, services, servers map[string]bool) bool {
-	if eventlog.Vocabulary[line.Event] != eventlog.Belief {
+	if eventlog.Vocabulary[line.Event] != eventlog.StateChange {
 		return false
 	}
 	service, server := line.Text("service"), line.Text("server")
@@ -211,7 +211,7 @@
 // Failover writes the state changes that concern a service, such as changes of its primary.
 func (l *Logs) Failover(out io.Writer, service string) error {
 	return l.writeMatching(out, "service", service, func(line *Line) bool {
-		return line.Text("service") == service && eventlog.Vocabulary[line.Event] == eventlog.Belief
+		return line.Text("service") == service && eventlog.Vocabulary[line.Event] == eventlog.StateChange
 	})
 }
 
--- a/internal/lab/judge/caller.go
+++ b/internal/lab/judge/caller.go
@@ -37,10 +37,10 @@
 	Name string
 	// Tenant is the caller's tenant; empty if callers need no key.
 	Tenant string
-	Seed   *rand.Rand
+	Random *rand.Rand
 	Judge  *Judge
-	// Stays makes the caller keep each session until it fails or Run ends.
-	Stays bool
+	// KeepsSessions makes the caller keep each session until it fails or Run ends.
+	KeepsSessions bool
 	// Connect opens a session on some node and returns it with its route. The session is nil
 	// if it was rejected.
 	Connect func(r *rand.Rand) (Session, *catalog.Route)
@@ -70,7 +70,7 @@
 // Run runs sessions until a time.
 func (c *Caller) Run(until time.Time) {
 	for time.Now().Before(until) {
-		session, route := c.Connect(c.Seed)
+		session, route := c.Connect(c.Random)
 		if session == nil {
 			time.Sleep(reconnectDelay)
 			continue
@@ -94,12 +94,12 @@
 )
 
 func (c *Caller) runSession(session Session, route *catalog.Route, until time.Time) {
-	for operations := c.Seed.IntN(maxOperations) + 1; operations > 0 || c.Stays; operations-- {
+	for operations := c.Random.IntN(maxOperations) + 1; operations > 0 || c.KeepsSessions; operations-- {
 		if !time.Now().Before(until) {
 			return
 		}
 		healthy := true
-		switch c.Seed.IntN(10) {
+		switch c.Random.IntN(10) {
 		case 0:
 			healthy = c.setValue(session)
 		case 1, 2, 3:
@@ -117,7 +117,7 @@
 }
 
 func (c *Caller) pause(millis int) {
-	time.Sleep(time.Duration(c.Seed.IntN(millis)) * time.Millisecond)
+	time.Sleep(time.Duration(c.Random.IntN(millis)) * time.Millisecond)
 }
 
 func (c *Caller) nextID() string {
@@ -134,7 +134,7 @@
 }
 
 func (c *Caller) setValue(session Session) bool {
-	name, value := fmt.Sprintf("v%d", c.Seed.IntN(3)), fmt.Sprint(c.Seed.IntN(5))
+	name, value := fmt.Sprintf("v%d", c.Random.IntN(3)), fmt.Sprint(c.Random.IntN(5))
 	answer, open := session.Ask(command.Command{
 		Kind: command.SetValue, RequestID: c.nextID(), Name: name, Value: value,
 	})
@@ -146,7 +146,7 @@
 
 // statement returns a read or write of a random key.
 func (c *Caller) statement(id string, writes bool) command.Command {
-	key := fmt.Sprintf("t%d", c.Seed.IntN(maxKeys))
+	key := fmt.Sprintf("t%d", c.Random.IntN(maxKeys))
 	if writes {
 		return command.Command{Kind: command.Write, RequestID: id, Text: "WRITE " + key + " " + id}
 	}
@@ -213,17 +213,17 @@
 func (c *Caller) transaction(session Session, route *catalog.Route) bool {
 	began := time.Now()
 	kind, text := command.Begin, "BEGIN"
-	if c.Seed.IntN(3) == 0 {
+	if c.Random.IntN(3) == 0 {
 		kind, text = command.BeginReadOnly, "BEGIN READ"
 	}
 	if answer, open := session.Ask(command.Command{Kind: kind, RequestID: c.nextID(), Text: text}); !open || answer.Failed {
 		return open
 	}
 	var writes []string
-	for range c.Seed.IntN(maxStatements) {
+	for range c.Random.IntN(maxStatements) {
 		id := c.nextID()
 		c.recordRequest(id, route, began)
-		writing := kind == command.Begin && c.Seed.IntN(2) == 0
+		writing := kind == command.Begin && c.Random.IntN(2) == 0
 		if writing {
 			writes = append(writes, id)
 		}
@@ -237,7 +237,7 @@
 		}
 		c.pause(maxStatementPauseMillis)
 	}
-	if c.Seed.IntN(5) == 0 {
+	if c.Random.IntN(5) == 0 {
 		return c.rollBack(session)
 	}
 	answer, open := session.Ask(command.Command{Kind: command.Commit, RequestID: c.nextID(), Text: "COMMIT"})
--- a/internal/lab/judge/judge.go
+++ b/internal/lab/judge/judge.go
@@ -224,8 +224,8 @@
 	j.commits[at] = &Commit{requests: ids}
 }
 
-// CommittedAside implements managed.Observer.
-func (j *Judge) CommittedAside(ids []string) {
+// CommittedOnReplaced implements managed.Observer.
+func (j *Judge) CommittedOnReplaced(ids []string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	for _, id := range ids {
--- a/internal/lab/judge/quota.go
+++ b/internal/lab/judge/quota.go
@@ -14,10 +14,10 @@
 // Allowance limits a tenant's operations to Most in every window of length Span that starts at
 // From or later.
 type Allowance struct {
-	Tenant string
-	Span   time.Duration
-	Most   int
-	From   time.Time
+	Tenant        string
+	Period        time.Duration
+	MaxOperations int
+	From          time.Time
 }
 
 // CheckQuota records a violation if more operations than allowed began and ran within one
@@ -34,15 +34,15 @@
 		}
 		count := 0
 		for i := range operations {
-			if !operations[i].began.Before(start) && operations[i].ran.Sub(start) < allowance.Span {
+			if !operations[i].began.Before(start) && operations[i].ran.Sub(start) < allowance.Period {
 				count++
 			}
 		}
 		highest = max(highest, count)
 	}
-	if highest > allowance.Most {
+	if highest > allowance.MaxOperations {
 		j.recordViolation("%d operations of tenant %q ran within %v; %d are allowed",
-			highest, allowance.Tenant, allowance.Span, allowance.Most)
+			highest, allowance.Tenant, allowance.Period, allowance.MaxOperations)
 	}
 	return highest
 }
--- a/internal/lab/rounds/rounds.go
+++ b/internal/lab/rounds/rounds.go
@@ -21,13 +21,13 @@
 	Site    string    `json:"site"`
 	At      [2]string `json:"at"`
 	Score   float64   `json:"score"`
-	Days    []Day     `json:"days"`
+	Runs    []Run     `json:"days"`
 }
 
-// Day is a simulated run of a round.
-type Day struct {
+// Run is a simulated run of a round.
+type Run struct {
 	Name  string  `json:"name"`
-	Worth float64 `json:"G"`
+	Value float64 `json:"G"`
 	// Baseline is the Worth for which the score is 0.
 	Baseline float64 `json:"naive"`
 }
@@ -50,7 +50,7 @@
 		if err := json.Unmarshal(content, &entry); err != nil {
 			return nil, errors.Wrapf(err, "journal entry %s is no JSON object of a round", path)
 		}
-		if entry.Command == scoreCommand && entry.Site == site && len(entry.Days) > 0 {
+		if entry.Command == scoreCommand && entry.Site == site && len(entry.Runs) > 0 {
 			entries = append(entries, entry)
 		}
 	}
@@ -62,9 +62,9 @@
 }
 
 // standardRuns returns the runs that are part of every round.
-func standardRuns(entry *Entry) []Day {
-	var runs []Day
-	for _, run := range entry.Days {
+func standardRuns(entry *Entry) []Run {
+	var runs []Run
+	for _, run := range entry.Runs {
 		if !strings.HasPrefix(run.Name, oneTimePrefix) {
 			runs = append(runs, run)
 		}
@@ -90,7 +90,7 @@
 	var names []string
 	for i := range min(len(first), len(last)) {
 		names = append(names, last[i].Name)
-		for at, value := range []float64{last[i].Baseline, first[i].Worth, last[i].Worth} {
+		for at, value := range []float64{last[i].Baseline, first[i].Value, last[i].Value} {
 			drawn[at].values = append(drawn[at].values, value)
 		}
 	}
--- a/internal/lab/rounds/rounds_test.go
+++ b/internal/lab/rounds/rounds_test.go
@@ -24,7 +24,7 @@
 	entries, err := Read(paths, "s")
 	must.NoError(t, err)
 	must.Len(t, 2, entries)
-	must.Eq(t, 0.8, entries[0].Days[0].Worth)
+	must.Eq(t, 0.8, entries[0].Runs[0].Value)
 	must.Len(t, 1, standardRuns(&entries[1]))
 	out := filepath.Join(t.TempDir(), "plot.png")
 	must.NoError(t, Plot(out, entries))
--- a/internal/lab/sim/client.go
+++ b/internal/lab/sim/client.go
@@ -25,14 +25,14 @@
 	Mix   Mix
 	// Between SurgeFrom and SurgeTo, think times are divided by Surge.
 	SurgeFrom, SurgeTo time.Duration
-	Surge              int
-	// Carry is the share of callers that send the position of their last answer with each
+	SurgeFactor        int
+	// CarryShare is the share of callers that send the position of their last answer with each
 	// request.
-	Carry float64
+	CarryShare float64
 	// Resellers is the number of clients that belong to the caller "reseller". Their think
 	// time is divided by Greed.
-	Resellers int
-	Greed     int
+	Resellers      int
+	ResellerFactor int
 }
 
 // Kinds of requests, by their names in policies.
@@ -89,11 +89,11 @@
 	for index := range workload.Clients {
 		created := &caller{
 			world: w, name: fmt.Sprintf("session%d", index), user: "passenger", meanThinkTime: workload.Think,
-			group: groupName(index % w.settings.Groups), carries: w.random.Float64() < workload.Carry,
+			group: groupName(index % w.settings.Groups), carries: w.random.Float64() < workload.CarryShare,
 		}
 		if index < workload.Resellers {
 			created.user = "reseller"
-			created.meanThinkTime = workload.Think / time.Duration(max(workload.Greed, 1))
+			created.meanThinkTime = workload.Think / time.Duration(max(workload.ResellerFactor, 1))
 		}
 		const fleetStart = 2 * time.Second
 		w.After(fleetStart+time.Duration(w.random.Int64N(int64(workload.Think)+1)), created.beginOperation)
@@ -103,8 +103,8 @@
 func (c *caller) thinkTime() time.Duration {
 	workload := &c.world.settings.Workload
 	mean := c.meanThinkTime
-	if workload.Surge > 0 && c.world.Now() >= workload.SurgeFrom && c.world.Now() < workload.SurgeTo {
-		mean /= time.Duration(workload.Surge)
+	if workload.SurgeFactor > 0 && c.world.Now() >= workload.SurgeFrom && c.world.Now() < workload.SurgeTo {
+		mean /= time.Duration(workload.SurgeFactor)
 	}
 	const maxFactor = 5.0
 	return time.Duration(float64(mean) * min(-math.Log(1-c.world.random.Float64()), maxFactor))
--- a/internal/lab/sim/database.go
+++ b/internal/lab/sim/database.go
@@ -125,7 +125,7 @@
 
 func (g *databaseGroup) heal() {
 	for index, server := range g.servers {
-		g.model.SetCut(index, false)
+		g.model.SetIsolated(index, false)
 		g.model.SetApplyLag(index, 0)
 		g.model.SetDown(index, false)
 		server.resume()
--- a/internal/lab/sim/faults.go
+++ b/internal/lab/sim/faults.go
@@ -122,16 +122,16 @@
 	server := current.servers[index]
 	switch fault.Kind {
 	case CutPrimary:
-		current.model.SetCut(index, true)
+		current.model.SetIsolated(index, true)
 	case KillPrimary:
 		current.model.SetDown(index, true)
 		server.dropConnections()
 	case PausePrimary:
-		current.model.SetCut(index, true)
+		current.model.SetIsolated(index, true)
 		server.paused = true
 	}
 	w.After(fault.For, func() {
-		current.model.SetCut(index, false)
+		current.model.SetIsolated(index, false)
 		current.model.SetDown(index, false)
 		server.resume()
 	})
@@ -165,7 +165,7 @@
 		for _, current := range w.groups {
 			for index, server := range current.servers {
 				if server.location.zone.Name == zone {
-					current.model.SetCut(index, on)
+					current.model.SetIsolated(index, on)
 				}
 			}
 		}
@@ -297,7 +297,7 @@
 		ReceiveDelay:  time.Millisecond, DatagramLoss: random.Float64() * 0.05, Duplicates: random.Float64() * 0.1,
 		Table: DefaultTable(), Group: group.DefaultSettings(),
 		Workload: Workload{
-			Clients: 12, Think: 250 * time.Millisecond, Carry: 0.5,
+			Clients: 12, Think: 250 * time.Millisecond, CarryShare: 0.5,
 			Mix: Mix{Booking: 4, OwnRead: 6, Payment: 2, StatusWrite: 1, StatusRead: 3, Feed: 2, Manifest: 1},
 		},
 	}
--- a/internal/lab/sim/node.go
+++ b/internal/lab/sim/node.go
@@ -138,7 +138,7 @@
 		n.setWatch(typed.On)
 	case core.Publish:
 		n.publish(typed.View)
-	case core.Freshened:
+	case core.FreshUntil:
 		n.freshUntil = typed.Until
 		for _, name := range sortedKeys(n.owned) {
 			n.owned[name].markLeaving()
--- a/internal/lab/standin/database/group.go
+++ b/internal/lab/standin/database/group.go
@@ -244,7 +244,7 @@
 	case FaultKill:
 		return g.kill(target, on)
 	case FaultCut:
-		g.updateModel(func() { g.model.SetCut(index, on) })
+		g.updateModel(func() { g.model.SetIsolated(index, on) })
 	case FaultLag:
 		g.updateModel(func() { g.model.SetApplyLag(index, amount) })
 	case FaultSwitchover:
--- a/internal/lab/standin/managed/degraded_test.go
+++ b/internal/lab/standin/managed/degraded_test.go
@@ -17,7 +17,7 @@
 func TestDegradedServers(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		group := managed.NewGroup(managed.Settings{
-			Name: "g", Zones: []string{"a"}, Slots: 1, Queue: 1, Connections: 4, Work: 2 * time.Millisecond,
+			Name: "g", Zones: []string{"a"}, Slots: 1, Queue: 1, Connections: 4, StatementTime: 2 * time.Millisecond,
 		}, noopObserver{}, func(managed.Entry) {})
 		dialer := &managed.Dialer{Groups: map[string]*managed.Group{"g": group}}
 		server := group.Primary()
--- a/internal/lab/standin/managed/faults.go
+++ b/internal/lab/standin/managed/faults.go
@@ -5,35 +5,35 @@
 	"time"
 )
 
-// Trouble is a kind of fault of servers, the store or promotions.
-type Trouble uint8
+// Fault is a kind of fault of servers, the store or promotions.
+type Fault uint8
 
 // The kinds of faults.
 const (
 	// PrimaryCrash ends the primary and restarts it with its log.
-	PrimaryCrash Trouble = iota
-	// PrimaryDark makes the primary unreachable for all nodes.
-	PrimaryDark
-	// ReplicaDeaf stops a server from receiving replication.
-	ReplicaDeaf
-	// ReplicaLate increases a server's apply delay.
-	ReplicaLate
+	PrimaryCrash Fault = iota
+	// PrimaryUnreachable makes the primary unreachable for all nodes.
+	PrimaryUnreachable
+	// ReplicaNotReceiving stops a server from receiving replication.
+	ReplicaNotReceiving
+	// ReplicaLagging increases a server's apply delay.
+	ReplicaLagging
 	// AnswersLost drops the next answers of the primary and of a random server.
 	AnswersLost
 	// StoreDown makes the store reject all calls.
 	StoreDown
 	// StoreSlow increases the latency of the store.
 	StoreSlow
-	// PrimarySevered stops replication from the primary.
-	PrimarySevered
-	// OrdersLate makes the platform execute promotion orders late and without an answer.
-	OrdersLate
+	// PrimaryNotReplicating stops replication from the primary.
+	PrimaryNotReplicating
+	// PromotionsDelayed makes the platform execute promotion orders late and without an answer.
+	PromotionsDelayed
 	// ServerSlow multiplies the duration of a server's statements.
 	ServerSlow
-	// ServerGrey makes some statements of a server fail while the rest succeed.
-	ServerGrey
-	// ServerFlaps repeatedly ends and restarts a server.
-	ServerFlaps
+	// ServerDegraded makes some statements of a server fail while the rest succeed.
+	ServerDegraded
+	// ServerFlapping repeatedly ends and restarts a server.
+	ServerFlapping
 )
 
 // Limits of random faults.
@@ -46,28 +46,28 @@
 	flapInterval    = 400 * time.Millisecond
 )
 
-// Victims are the targets of faults.
-type Victims struct {
+// FaultTargets are the targets of faults.
+type FaultTargets struct {
 	Group    *Group
 	Store    *Store
 	Promoter *Promoter
 }
 
-// Strike injects a fault and blocks until it has ended. All faults but AnswersLost last for
+// Inject injects a fault and blocks until it has ended. All faults but AnswersLost last for
 // duration.
-func (v *Victims) Strike(trouble Trouble, random *rand.Rand, duration time.Duration) {
+func (v *FaultTargets) Inject(trouble Fault, random *rand.Rand, duration time.Duration) {
 	switch trouble {
 	case PrimaryCrash:
 		crashed := v.Group.Primary()
 		crashed.Crash()
 		time.Sleep(duration)
 		crashed.Restart()
-	case PrimaryDark:
+	case PrimaryUnreachable:
 		primary := v.Group.Primary()
 		during(duration, func(on bool) { primary.SetReachable(!on) })
-	case ReplicaDeaf:
-		during(duration, v.anyServer(random).SetDeaf)
-	case ReplicaLate:
+	case ReplicaNotReceiving:
+		during(duration, v.anyServer(random).SetReceiveBlocked)
+	case ReplicaLagging:
 		late := v.anyServer(random)
 		late.SetApplyDelay(randomDelay(random, maxApplyDelayMs))
 		time.Sleep(duration)
@@ -81,29 +81,29 @@
 		v.Store.SetDelay(randomDelay(random, maxStoreDelayMs))
 		time.Sleep(duration)
 		v.Store.SetDelay(storeLatency)
-	case PrimarySevered:
-		during(duration, v.Group.Primary().SetSevered)
-	case OrdersLate:
-		v.Promoter.SetLate(duration)
+	case PrimaryNotReplicating:
+		during(duration, v.Group.Primary().SetSendBlocked)
+	case PromotionsDelayed:
+		v.Promoter.SetOrderDelay(duration)
 		time.Sleep(duration)
-		v.Promoter.SetLate(0)
+		v.Promoter.SetOrderDelay(0)
 	case ServerSlow:
 		slow := v.anyServer(random)
 		slow.SetSlowdown(2 + random.IntN(maxSlowdown-1))
 		time.Sleep(duration)
 		slow.SetSlowdown(1)
-	case ServerGrey:
+	case ServerDegraded:
 		degraded := v.anyServer(random)
 		degraded.FailOneOf(1 + random.IntN(maxFailOneOf))
 		time.Sleep(duration)
 		degraded.FailOneOf(0)
-	case ServerFlaps:
+	case ServerFlapping:
 		v.flap(v.anyServer(random), duration)
 	}
 }
 
 // flap repeatedly ends and restarts a server.
-func (v *Victims) flap(flapping *Server, duration time.Duration) {
+func (v *FaultTargets) flap(flapping *Server, duration time.Duration) {
 	for end := time.Now().Add(duration); time.Now().Before(end); {
 		flapping.Crash()
 		time.Sleep(flapInterval)
@@ -112,7 +112,7 @@
 	}
 }
 
-func (v *Victims) anyServer(random *rand.Rand) *Server {
+func (v *FaultTargets) anyServer(random *rand.Rand) *Server {
 	return v.Group.Server(random.IntN(len(v.Group.settings.Zones)))
 }
 
--- a/internal/lab/standin/managed/managed.go
+++ b/internal/lab/standin/managed/managed.go
@@ -38,9 +38,9 @@
 	WritesCommitted(requestIDs []string, at position.Position)
 	// RolledBack reports that a promotion removed a commit.
 	RolledBack(at position.Position)
-	// CommittedAside reports that a replaced primary that is still running as one committed the
+	// CommittedOnReplaced reports that a replaced primary that is still running as one committed the
 	// writes of some requests. These writes aren't part of the service.
-	CommittedAside(requestIDs []string)
+	CommittedOnReplaced(requestIDs []string)
 }
 
 // Settings describe a service.
@@ -53,9 +53,9 @@
 	Queue int
 	// Connections limits the connections to a server.
 	Connections int
-	// Work is the duration of a statement, Handshake that of opening a connection.
-	Work      time.Duration
-	Handshake time.Duration
+	// StatementTime is the duration of a statement, Handshake that of opening a connection.
+	StatementTime time.Duration
+	Handshake     time.Duration
 	// ReceiveDelay and ApplyDelay are the delays of replication.
 	ReceiveDelay time.Duration
 	ApplyDelay   time.Duration
@@ -112,8 +112,8 @@
 	Draining bool
 	Primary  bool
 	Gone     bool
-	// Born identifies the incarnation of the server: its start time in milliseconds since 1970.
-	Born int64 `json:"Born"`
+	// Incarnation identifies the incarnation of the server: its start time in milliseconds since 1970.
+	Incarnation int64 `json:"Born"`
 }
 
 // NewGroup starts a service. publish is called for each change of the directory.
@@ -154,7 +154,7 @@
 func (g *Group) announce(server *Server) {
 	g.publish(Entry{
 		ID: server.id, Service: g.settings.Name, Address: server.id, Zone: server.zone, Slots: g.settings.Slots,
-		Draining: server.draining, Primary: server.isPrimary(), Gone: !server.up, Born: server.incarnation,
+		Draining: server.draining, Primary: server.isPrimary(), Gone: !server.up, Incarnation: server.incarnation,
 	})
 }
 
@@ -302,7 +302,7 @@
 	at := position.Position{Term: server.primaryTerm, Offset: uint64(len(server.log) + 1)}
 	server.log = append(server.log[:len(server.log):len(server.log)], entry{at: at, writes: writes})
 	server.applied = len(server.log)
-	g.observer.CommittedAside(requestIDsOf(writes))
+	g.observer.CommittedOnReplaced(requestIDsOf(writes))
 	return at
 }
 
--- a/internal/lab/standin/managed/server.go
+++ b/internal/lab/standin/managed/server.go
@@ -115,8 +115,8 @@
 	s.reachable = reachable
 }
 
-// SetDeaf sets whether a replica stops receiving replication.
-func (s *Server) SetDeaf(receiveBlocked bool) {
+// SetReceiveBlocked sets whether a replica stops receiving replication.
+func (s *Server) SetReceiveBlocked(receiveBlocked bool) {
 	defer s.lock()()
 	s.receiveBlocked = receiveBlocked
 	if !receiveBlocked {
@@ -124,8 +124,8 @@
 	}
 }
 
-// SetSevered sets whether a primary stops sending its log to the replicas.
-func (s *Server) SetSevered(sendBlocked bool) {
+// SetSendBlocked sets whether a primary stops sending its log to the replicas.
+func (s *Server) SetSendBlocked(sendBlocked bool) {
 	defer s.lock()()
 	s.sendBlocked = sendBlocked
 	for _, other := range s.group.servers {
@@ -171,7 +171,7 @@
 // work returns the duration of a statement.
 func (s *Server) work() time.Duration {
 	defer s.lock()()
-	return time.Duration(max(1, s.slowdown)) * s.group.settings.Work
+	return time.Duration(max(1, s.slowdown)) * s.group.settings.StatementTime
 }
 
 // SetBusy makes the server reject all operations that take a slot until a time.
--- a/internal/lab/standin/managed/session.go
+++ b/internal/lab/standin/managed/session.go
@@ -282,7 +282,7 @@
 		}
 		s.state, s.readOnly, s.term = upstream.InTransaction, false, s.server.primaryTerm
 	case upstream.BeginReadOnly:
-		if !s.server.hasApplied(operation.Floor) {
+		if !s.server.hasApplied(operation.MinimumPosition) {
 			return s.result(upstream.Behind)
 		}
 		s.state, s.readOnly = upstream.InTransaction, true
@@ -383,7 +383,7 @@
 		s.state = upstream.FailedTransaction
 		return s.result(upstream.NotPrimary)
 	}
-	if !statement.Writes && !s.server.hasApplied(operation.Floor) {
+	if !statement.Writes && !s.server.hasApplied(operation.MinimumPosition) {
 		return s.result(upstream.Behind)
 	}
 	if statement.Writes && !s.writable(readWrite) {
--- a/internal/lab/standin/managed/session_test.go
+++ b/internal/lab/standin/managed/session_test.go
@@ -21,7 +21,7 @@
 func (noopObserver) ReadRan(string, time.Time, func(position.Position) bool) {}
 func (noopObserver) WritesCommitted([]string, position.Position)             {}
 func (noopObserver) RolledBack(position.Position)                            {}
-func (noopObserver) CommittedAside([]string)                                 {}
+func (noopObserver) CommittedOnReplaced([]string)                            {}
 
 // TestBusyRejectionsDuringReplication guards against a data race: a rejection carries the position
 // that replication changes at the same time. Only the race detector can see it.
--- a/internal/lab/standin/managed/store.go
+++ b/internal/lab/standin/managed/store.go
@@ -138,16 +138,16 @@
 	s.loseAnswers = count
 }
 
-// SetCut sets whether a node is cut off from the store.
-func (s *Store) SetCut(node string, cut bool) {
+// SetIsolated sets whether a node is cut off from the store.
+func (s *Store) SetIsolated(node string, cut bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.cut[node] = cut
 	s.wake()
 }
 
-// Forget drops the history, so that older watches fail.
-func (s *Store) Forget() {
+// CompactHistory drops the history, so that older watches fail.
+func (s *Store) CompactHistory() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.history, s.compactedUpTo = nil, s.revision
@@ -201,8 +201,8 @@
 	return object
 }
 
-// Creations returns how many times nodes tried to create an object of a kind.
-func (s *Store) Creations(kind string) int {
+// CreateAttempts returns how many times nodes tried to create an object of a kind.
+func (s *Store) CreateAttempts(kind string) int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.createAttempts[kind]
@@ -413,7 +413,7 @@
 	err := json.Unmarshal(object.Content, &entry)
 	server := catalog.Server{
 		ID: entry.ID, Service: entry.Service, Address: entry.Address, Zone: entry.Zone, Slots: entry.Slots,
-		Draining: entry.Draining, Revision: object.Revision, Born: entry.Born,
+		Draining: entry.Draining, Revision: object.Revision, Incarnation: entry.Incarnation,
 	}
 	if entry.Primary {
 		server.Role = catalog.Primary
@@ -437,8 +437,8 @@
 	Token   uint64
 }
 
-// SetLate makes the platform execute orders after a delay and without an answer. 0 ends the fault.
-func (p *Promoter) SetLate(orderDelay time.Duration) {
+// SetOrderDelay makes the platform execute orders after a delay and without an answer. 0 ends the fault.
+func (p *Promoter) SetOrderDelay(orderDelay time.Duration) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.orderDelay = orderDelay
--- a/internal/lab/trace/failover.go
+++ b/internal/lab/trace/failover.go
@@ -9,11 +9,11 @@
 
 // FailoverSettings are the settings of a failover machine.
 type FailoverSettings struct {
-	Node string        `json:"node"`
-	Life string        `json:"life"`
-	Rank time.Duration `json:"rank"`
-	// Agreed is set if nodes use agreed tenures.
-	Agreed bool `json:"agreed,omitempty"`
+	Node        string        `json:"node"`
+	Incarnation string        `json:"life"`
+	RankDelay   time.Duration `json:"rank"`
+	// UsesTenures is set if nodes use agreed tenures.
+	UsesTenures bool `json:"agreed,omitempty"`
 }
 
 // FailoverWriter records the steps of a failover machine.
@@ -33,7 +33,7 @@
 	),
 	newMachine: func(settings FailoverSettings) stepper[failover.Event, failover.Effect] {
 		return failoverMachine{failover.New(failover.Config{
-			Node: settings.Node, Life: settings.Life, Rank: settings.Rank, Agreed: settings.Agreed,
+			Node: settings.Node, Incarnation: settings.Incarnation, RankDelay: settings.RankDelay, UsesTenures: settings.UsesTenures,
 		})}
 	},
 	record: func(result *Result, effects []failover.Effect) {
--- a/internal/postgres/core/control.go
+++ b/internal/postgres/core/control.go
@@ -85,16 +85,16 @@
 	WatchStore struct{ On bool }
 	// Publish installs a new snapshot.
 	Publish struct{ View *View }
-	// Freshened sets until when the node may begin new work unless a peer or the store
+	// FreshUntil sets until when the node may begin new work unless a peer or the store
 	// answers again.
-	Freshened struct{ Until time.Duration }
+	FreshUntil struct{ Until time.Duration }
 )
 
 func (Send) controlEffect()       {}
 func (StartSync) controlEffect()  {}
 func (WatchStore) controlEffect() {}
 func (Publish) controlEffect()    {}
-func (Freshened) controlEffect()  {}
+func (FreshUntil) controlEffect() {}
 
 // MembersOnly is the revision in a synchronization request that asks for a peer's member
 // list without configuration.
@@ -194,10 +194,10 @@
 	case SyncAnswer:
 		c.syncAnswer(typed)
 	case MachineList:
-		c.members.Hint(now, typed.Machines)
+		c.members.ApplyMachineList(now, typed.Machines)
 	case Drain:
-		c.members.Leave(true)
-		c.sendAll(c.members.Pushes(nil, 0, 0))
+		c.members.SetDraining(true)
+		c.sendAll(c.members.ConfigurationPushes(nil, 0, 0))
 	}
 	c.joinFleet()
 	c.syncIfDifferent()
@@ -281,7 +281,7 @@
 	if objectsSize(objects) > maxPushBytes {
 		objects = nil
 	}
-	c.sendAll(c.members.Pushes(objects, base, complete))
+	c.sendAll(c.members.ConfigurationPushes(objects, base, complete))
 }
 
 func objectsSize(objects []objectapi.Object) int {
@@ -331,7 +331,7 @@
 const joinRetryDelay = 100 * time.Millisecond
 
 func (c *Control) syncIfDifferent() {
-	peer := c.members.TakeSync()
+	peer := c.members.TakeSyncPeer()
 	if peer == "" || c.syncing && c.now < c.syncStarted+syncTimeout {
 		return
 	}
@@ -368,7 +368,7 @@
 	if event.Failed {
 		return
 	}
-	c.members.Learn(c.now, event.Answer.Members)
+	c.members.MergeMembers(c.now, event.Answer.Members)
 	if !c.hasMemberList && !c.ready {
 		c.hasMemberList = true
 		return
@@ -388,7 +388,7 @@
 	}
 	if until != c.freshUntil {
 		c.freshUntil = until
-		c.emit(Freshened{Until: until})
+		c.emit(FreshUntil{Until: until})
 	}
 }
 
--- a/internal/postgres/forward/decide.go
+++ b/internal/postgres/forward/decide.go
@@ -29,8 +29,8 @@
 	// InTransaction is true when the request belongs to a transaction that is open on the
 	// node.
 	InTransaction bool
-	// PassedOn is true when the caller has received a part of the answer.
-	PassedOn bool
+	// PartDelivered is true when the caller has received a part of the answer.
+	PartDelivered bool
 	// Tries is the number of attempts so far.
 	Tries int
 }
@@ -70,7 +70,7 @@
 
 func decideLost(attempt Attempt, canRetry bool) Decision {
 	switch {
-	case attempt.PassedOn:
+	case attempt.PartDelivered:
 		return Decision{Kind: failure.OutcomeUnknown, Disconnect: true}
 	case attempt.ReadOnly && canRetry:
 		return Decision{Retry: true}
--- a/internal/postgres/forward/decide_test.go
+++ b/internal/postgres/forward/decide_test.go
@@ -20,7 +20,7 @@
 		"write, not sent, often":       {Attempt{Ending: NotSent, MayCommit: true, Tries: maxAttempts}, Decision{Kind: failure.NoServer}},
 		"write, lost":                  {Attempt{Ending: LinkLost, MayCommit: true}, Decision{Kind: failure.OutcomeUnknown}},
 		"read, lost":                   {Attempt{Ending: LinkLost, ReadOnly: true}, Decision{Retry: true}},
-		"read, lost after a part":      {Attempt{Ending: LinkLost, ReadOnly: true, PassedOn: true}, Decision{Kind: failure.OutcomeUnknown, Disconnect: true}},
+		"read, lost after a part":      {Attempt{Ending: LinkLost, ReadOnly: true, PartDelivered: true}, Decision{Kind: failure.OutcomeUnknown, Disconnect: true}},
 		"in a transaction, lost":       {Attempt{Ending: LinkLost, InTransaction: true}, Decision{Kind: failure.TransactionLost}},
 		"commit, lost":                 {Attempt{Ending: LinkLost, InTransaction: true, MayCommit: true}, Decision{Kind: failure.OutcomeUnknown}},
 		"in a transaction, owner gone": {Attempt{Ending: NotSent, InTransaction: true, MayCommit: true}, Decision{Kind: failure.TransactionLost}},
@@ -36,7 +36,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		attempt := Attempt{
 			Ending: LinkLost, MayCommit: true, InTransaction: rapid.Bool().Draw(t, "in transaction"),
-			PassedOn: rapid.Bool().Draw(t, "passed on"), Tries: rapid.IntRange(0, 10).Draw(t, "tries"),
+			PartDelivered: rapid.Bool().Draw(t, "passed on"), Tries: rapid.IntRange(0, 10).Draw(t, "tries"),
 		}
 		decision := Decide(attempt)
 		must.False(t, decision.Retry)
--- a/internal/postgres/forward/router.go
+++ b/internal/postgres/forward/router.go
@@ -121,7 +121,7 @@
 		if ok {
 			return Served{Result: result, Owner: id}
 		}
-		attempt.Ending, attempt.PassedOn = ending, partDelivered
+		attempt.Ending, attempt.PartDelivered = ending, partDelivered
 		attempt.Tries++
 		decision := Decide(attempt)
 		if !decision.Retry {
--- a/internal/postgres/gossip/transport.go
+++ b/internal/postgres/gossip/transport.go
@@ -75,7 +75,7 @@
 	if len(datagram) < digestBytes {
 		return message, errors.New("datagram is too short")
 	}
-	if !keys.Accept(datagram[:digestBytes], digestContext, datagram[digestBytes:]) {
+	if !keys.Verify(datagram[:digestBytes], digestContext, datagram[digestBytes:]) {
 		return message, errors.New("datagram has no valid digest; give all nodes the same fleet_keys")
 	}
 	return message, codec.Decode(datagram[digestBytes:], &message)
--- a/internal/postgres/membership/machine.go
+++ b/internal/postgres/membership/machine.go
@@ -205,8 +205,8 @@
 	m.updates = slices.DeleteFunc(m.updates, func(queued update) bool { return queued.id == id })
 }
 
-// Leave sets whether this node is draining before a planned shutdown.
-func (m *Machine) Leave(draining bool) {
+// SetDraining sets whether this node is draining before a planned shutdown.
+func (m *Machine) SetDraining(draining bool) {
 	self := m.Self()
 	if self.Draining == draining {
 		return
@@ -216,10 +216,10 @@
 	m.storeAndQueue(self)
 }
 
-// Learn merges the complete member list of a peer. The changes are not queued for
+// MergeMembers merges the complete member list of a peer. The changes are not queued for
 // dissemination, because the fleet already has them; lists that still differ are
 // synchronized again.
-func (m *Machine) Learn(now time.Duration, members []Member) {
+func (m *Machine) MergeMembers(now time.Duration, members []Member) {
 	m.now = now
 	for _, member := range members {
 		m.merge(member, m.store)
@@ -255,9 +255,9 @@
 	m.storeAndQueue(self)
 }
 
-// Hint processes the platform's machine list. As the list lags behind, a machine
+// ApplyMachineList processes the platform's machine list. As the list lags behind, a machine
 // that disappears from it becomes suspected and not dead.
-func (m *Machine) Hint(now time.Duration, machines []objectapi.Machine) {
+func (m *Machine) ApplyMachineList(now time.Duration, machines []objectapi.Machine) {
 	m.now = now
 	listed := map[string]bool{}
 	for _, machine := range machines {
@@ -280,9 +280,9 @@
 	m.storeAndQueue(known)
 }
 
-// TakeSync returns the ID of a peer whose state differs and with which this node
+// TakeSyncPeer returns the ID of a peer whose state differs and with which this node
 // should synchronize, or "". It clears the pending synchronization.
-func (m *Machine) TakeSync() string {
+func (m *Machine) TakeSyncPeer() string {
 	peer := m.syncPeer
 	m.syncPeer = ""
 	return peer
@@ -398,9 +398,9 @@
 	return taken
 }
 
-// Pushes returns messages that carry configuration objects to random members.
+// ConfigurationPushes returns messages that carry configuration objects to random members.
 // Without objects they carry only the digests, and the receivers synchronize.
-func (m *Machine) Pushes(objects []objectapi.Object, base, complete uint64) []Effect {
+func (m *Machine) ConfigurationPushes(objects []objectapi.Object, base, complete uint64) []Effect {
 	m.effects = nil
 	for _, id := range m.RandomPeers(m.settings.Fanout, "") {
 		m.send(m.members[id].Addresses.Gossip, Message{Kind: Push, Objects: objects, Base: base, Complete: complete})
--- a/internal/postgres/node/node.go
+++ b/internal/postgres/node/node.go
@@ -179,7 +179,7 @@
 		n.setWatch(typed.On)
 	case core.Publish:
 		n.publish(typed.View)
-	case core.Freshened:
+	case core.FreshUntil:
 		n.freshUntil.Store(int64(typed.Until))
 		n.groups.SetFresh(typed.Until - n.now())
 	}
@@ -276,10 +276,10 @@
 	n.step(core.Drain{})
 	n.callerServer.Drain(timeout)
 	n.groups.Drain()
-	for n.groups.Busy() > 0 && time.Now().Before(deadline) {
+	for n.groups.ActiveCount() > 0 && time.Now().Before(deadline) {
 		time.Sleep(drainPollInterval)
 	}
-	n.log.Info("node: drained", zap.Int("left", n.groups.Busy()))
+	n.log.Info("node: drained", zap.Int("left", n.groups.ActiveCount()))
 }
 
 // drainPollInterval is the interval between checks for work in progress.
@@ -348,7 +348,7 @@
 	status := NodeStatus{
 		ID: n.settings.ID, Zone: n.settings.Zone, Ready: view.Ready, Draining: n.draining.Load(), Reader: view.IsReader(),
 		Revision: view.Digest.Complete, Callers: n.callerServer.Connected(), Members: view.Members,
-		Policies: map[string]uint64{}, Groups: n.groups.Status(), Faults: view.Config.Faults, BusyRequests: n.groups.Busy(),
+		Policies: map[string]uint64{}, Groups: n.groups.Status(), Faults: view.Config.Faults, BusyRequests: n.groups.ActiveCount(),
 	}
 	for service, policy := range view.Config.Policies {
 		status.Policies[service] = policy.Version
@@ -368,9 +368,9 @@
 // Router returns the router, for its counters.
 func (n *Node) Router() *forward.Router { return n.router }
 
-// PolicySource returns the active policy of a service and its version. The version is
+// ActivePolicy returns the active policy of a service and its version. The version is
 // 0 if the service has no policy.
-func (n *Node) PolicySource(service string) (configuration.Policy, uint64, error) {
+func (n *Node) ActivePolicy(service string) (configuration.Policy, uint64, error) {
 	return decodeObject[configuration.Policy](n, configuration.PolicyPrefix+service)
 }
 
--- a/internal/postgres/operator/server.go
+++ b/internal/postgres/operator/server.go
@@ -115,7 +115,7 @@
 }
 
 func (s *Server) getPolicy(writer http.ResponseWriter, request *http.Request) {
-	policy, version, err := s.node.PolicySource(request.PathValue("service"))
+	policy, version, err := s.node.ActivePolicy(request.PathValue("service"))
 	writeResult(writer, PolicyState[configuration.Policy]{version, policy}, err)
 }
 
--- a/internal/postgres/owner/groups.go
+++ b/internal/postgres/owner/groups.go
@@ -288,8 +288,8 @@
 	return statuses
 }
 
-// Busy returns the number of requests in progress and open transactions on this node.
-func (g *Groups) Busy() int {
+// ActiveCount returns the number of requests in progress and open transactions on this node.
+func (g *Groups) ActiveCount() int {
 	busy := 0
 	for _, status := range g.Status() {
 		busy += status.InProgress + status.OpenTransactions
--- a/internal/postgres/peer/client.go
+++ b/internal/postgres/peer/client.go
@@ -200,7 +200,7 @@
 	if err != nil {
 		return err
 	}
-	if !c.keys.Accept(answer.Proof, nonce, []byte(answer.ID)) || answer.ID != c.peerID {
+	if !c.keys.Verify(answer.Proof, nonce, []byte(answer.ID)) || answer.ID != c.peerID {
 		return errors.Errorf("the node at %s did not prove that it is %s", c.address, c.peerID)
 	}
 	return errors.Wrap(conn.SetDeadline(time.Time{}), "clear deadline")
--- a/internal/postgres/peer/frame.go
+++ b/internal/postgres/peer/frame.go
@@ -116,8 +116,8 @@
 	return mac.Sum(nil)
 }
 
-// Accept reports whether the digest is an HMAC of the parts with one of the keys.
-func (k Keys) Accept(digest []byte, parts ...[]byte) bool {
+// Verify reports whether the digest is an HMAC of the parts with one of the keys.
+func (k Keys) Verify(digest []byte, parts ...[]byte) bool {
 	for _, key := range k {
 		if hmac.Equal(digest, proof(key, parts)[:min(len(digest), sha256.Size)]) && len(digest) >= nonceBytes {
 			return true
--- a/internal/postgres/peer/server.go
+++ b/internal/postgres/peer/server.go
@@ -179,7 +179,7 @@
 	if err != nil {
 		return "", err
 	}
-	if frameKind(received.Kind) != frameHello || !l.keys.Accept(greeting.Proof, nonce, []byte(greeting.ID)) {
+	if frameKind(received.Kind) != frameHello || !l.keys.Verify(greeting.Proof, nonce, []byte(greeting.ID)) {
 		return "", errors.New("the peer did not prove the fleet key; configure the same fleet_keys on both nodes")
 	}
 	err = send(out, frameWelcome, 0, &welcome{ID: l.id, Proof: l.keys.Prove(greeting.Nonce, []byte(l.id))})
--- a/internal/postgres/replication/group.go
+++ b/internal/postgres/replication/group.go
@@ -148,8 +148,8 @@
 // Applied returns the number of log entries that a server has applied.
 func (g *Group[P]) Applied(index int) int { return g.servers[index].applied }
 
-// SetCut isolates a server from the rest of its group, or reconnects it.
-func (g *Group[P]) SetCut(index int, isolated bool) { g.servers[index].isolated = isolated }
+// SetIsolated isolates a server from the rest of its group, or reconnects it.
+func (g *Group[P]) SetIsolated(index int, isolated bool) { g.servers[index].isolated = isolated }
 
 // SetDown stops a server, or restarts it with its log.
 func (g *Group[P]) SetDown(index int, down bool) { g.servers[index].down = down }
--- a/internal/proxy/admission/bench_test.go
+++ b/internal/proxy/admission/bench_test.go
@@ -28,6 +28,6 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		gate.Outlook(now)
+		gate.Forecast(now)
 	}
 }
--- a/internal/proxy/admission/early.go
+++ b/internal/proxy/admission/early.go
@@ -12,17 +12,17 @@
 
 // The verdicts.
 const (
-	// Ask: send the work to the owner, which decides.
-	Ask Verdict = iota
+	// Send: send the work to the owner, which decides.
+	Send Verdict = iota
 	// TryElsewhere: the server cannot run the work in time. Another server may run it; if there is
 	// none, the work is rejected at once.
 	TryElsewhere
-	// Refuse: the work cannot be answered by its deadline.
-	Refuse
+	// Reject: the work cannot be answered by its deadline.
+	Reject
 )
 
-// Known is what a node knows about the queue of a server.
-type Known struct {
+// QueueEstimate is what a node knows about the queue of a server.
+type QueueEstimate struct {
 	// Recent is set if the node has a recent load report. Wait is the wait reported by the owner
 	// for the work's level and class.
 	Recent bool
@@ -34,14 +34,14 @@
 }
 
 // wait returns the expected wait, including work that this node has sent since the report.
-func (k *Known) wait() time.Duration {
+func (k *QueueEstimate) wait() time.Duration {
 	if k.Waiting <= 0 {
 		return k.Wait
 	}
 	return k.Wait + time.Duration(k.Sent)*k.Wait/time.Duration(k.Waiting)
 }
 
-// Early decides about work before it is sent to an owner, which would reject it only after it has
+// Precheck decides about work before it is sent to an owner, which would reject it only after it has
 // waited for allowed. Statements of open transactions are always sent, and so is all work without a
 // recent report.
 //
@@ -49,24 +49,24 @@
 // at the same limit, the server would run idle until their reports expire. So if the expected wait
 // is n times the allowed one, one in n requests is sent, which is about what the owner can admit.
 // draw is a random number in [0, 1).
-func Early(w *urgency.Work, now time.Time, allowed time.Duration, queue Known, draw float64) Verdict {
+func Precheck(w *urgency.Work, now time.Time, allowed time.Duration, queue QueueEstimate, draw float64) Verdict {
 	if !queue.Recent || w.Open {
-		return Ask
+		return Send
 	}
 	wait := queue.wait()
 	allowed = max(allowed, 0)
 	switch {
 	case wait <= allowed:
-		return Ask
+		return Send
 	case w.CannotFinish(now, wait):
-		return Refuse
+		return Reject
 	case draw*float64(wait) < float64(allowed):
-		return Ask
+		return Send
 	default:
 		return TryElsewhere
 	}
 }
 
-// Overfull reports whether work that may wait for allowed would be rejected after waiting, because
+// WaitTooLong reports whether work that may wait for allowed would be rejected after waiting, because
 // the expected wait is longer. Such work is rejected at once.
-func Overfull(wait, allowed time.Duration) bool { return wait > max(allowed, 0) }
+func WaitTooLong(wait, allowed time.Duration) bool { return wait > max(allowed, 0) }
--- a/internal/proxy/admission/early_test.go
+++ b/internal/proxy/admission/early_test.go
@@ -26,26 +26,26 @@
 			return time.Duration(rapid.IntRange(0, most).Draw(t, name)) * time.Millisecond
 		}
 		work := workAt(now)
-		queue := Known{Wait: milliseconds("wait", 5_000), Waiting: rapid.IntRange(0, 50).Draw(t, "waiting"), Sent: rapid.IntRange(0, 50).Draw(t, "sent")}
+		queue := QueueEstimate{Wait: milliseconds("wait", 5_000), Waiting: rapid.IntRange(0, 50).Draw(t, "waiting"), Sent: rapid.IntRange(0, 50).Draw(t, "sent")}
 		allowed, draw := milliseconds("allowed", 600)-200*time.Millisecond, rapid.Float64Range(0, 0.999).Draw(t, "draw")
-		must.Eq(t, Ask, Early(&work, now, allowed, queue, draw))
+		must.Eq(t, Send, Precheck(&work, now, allowed, queue, draw))
 		queue.Recent = true
-		verdict := Early(&work, now, allowed, queue, draw)
-		must.False(t, Overfull(0, allowed), must.Sprint("there is a free slot"))
+		verdict := Precheck(&work, now, allowed, queue, draw)
+		must.False(t, WaitTooLong(0, allowed), must.Sprint("there is a free slot"))
 		if queue.wait() <= max(allowed, 0) {
-			must.Eq(t, Ask, verdict)
+			must.Eq(t, Send, verdict)
 		}
 		if queue.wait() > work.Deadline.Sub(now) {
-			must.Eq(t, Refuse, verdict)
+			must.Eq(t, Reject, verdict)
 		}
 		// A longer wait must not make it more likely that the work is sent.
 		longer := queue
 		longer.Wait += milliseconds("more", 1_000)
-		if Early(&work, now, allowed, longer, draw) == Ask {
-			must.Eq(t, Ask, verdict)
+		if Precheck(&work, now, allowed, longer, draw) == Send {
+			must.Eq(t, Send, verdict)
 		}
 		work.Open = true
-		must.Eq(t, Ask, Early(&work, now, allowed, queue, draw))
+		must.Eq(t, Send, Precheck(&work, now, allowed, queue, draw))
 	})
 }
 
@@ -63,7 +63,7 @@
 // simulateOverload simulates 20 s in steps of a millisecond. The owner lets work wait for 100 ms,
 // and each answer carries a load report. shouldSend decides at a node from its last report,
 // shouldQueue at the owner.
-func simulateOverload(shouldSend func(latest Known) bool, shouldQueue func(wait time.Duration) bool) overload {
+func simulateOverload(shouldSend func(latest QueueEstimate) bool, shouldQueue func(wait time.Duration) bool) overload {
 	const (
 		nodes, slots = 60, 4
 		work         = 20  // ms that a statement uses a slot
@@ -76,7 +76,7 @@
 	type statement struct{ node, sentAt, due int }
 	type answer struct {
 		node, at int
-		Known
+		QueueEstimate
 	}
 	random := rand.New(rand.NewPCG(1, 2))
 	var latest [nodes]answer
@@ -87,7 +87,7 @@
 	delay := 0
 	wait := func() time.Duration { return time.Duration(len(queue)*work/slots) * time.Millisecond }
 	report := func(node, now int) {
-		answers[now+oneWay] = append(answers[now+oneWay], answer{node, now, Known{Recent: true, Wait: wait(), Waiting: len(queue)}})
+		answers[now+oneWay] = append(answers[now+oneWay], answer{node, now, QueueEstimate{Recent: true, Wait: wait(), Waiting: len(queue)}})
 	}
 	reject := func(s statement, now int) {
 		result.rejected++
@@ -100,7 +100,7 @@
 		}
 		if random.Float64() < load {
 			node := random.IntN(nodes)
-			k := latest[node].Known
+			k := latest[node].QueueEstimate
 			k.Recent = k.Recent && now-latest[node].at < 400
 			if shouldSend(k) {
 				arriving[now+oneWay] = append(arriving[now+oneWay], statement{node, now, now + oneWay + maxWait})
@@ -145,18 +145,18 @@
 	random := rand.New(rand.NewPCG(3, 4))
 	now := time.Unix(1_000, 0)
 	work := workAt(now)
-	always := func(Known) bool { return true }
+	always := func(QueueEstimate) bool { return true }
 	late := simulateOverload(always, func(time.Duration) bool { return true })
 	early := simulateOverload(
-		func(queue Known) bool { return Early(&work, now, maxWait, queue, random.Float64()) == Ask },
-		func(wait time.Duration) bool { return !Overfull(wait, maxWait) },
+		func(queue QueueEstimate) bool { return Precheck(&work, now, maxWait, queue, random.Float64()) == Send },
+		func(wait time.Duration) bool { return !WaitTooLong(wait, maxWait) },
 	)
 	t.Logf("rejected late: %+v; early: %+v", late, early)
 	must.Less(t, 0.01, early.idle)
 	must.Less(t, late.delay*2/3, early.delay)
 	must.LessEq(t, late.rejected*21/20, early.rejected)
 	// If all nodes use the same limit, the server runs idle until their reports expire.
-	uniform := simulateOverload(func(queue Known) bool { return !queue.Recent || queue.Wait <= maxWait/4 }, func(time.Duration) bool { return true })
+	uniform := simulateOverload(func(queue QueueEstimate) bool { return !queue.Recent || queue.Wait <= maxWait/4 }, func(time.Duration) bool { return true })
 	t.Logf("same limit for all nodes: %+v", uniform)
 	must.Greater(t, early.idle, uniform.idle)
 }
--- a/internal/proxy/admission/gate.go
+++ b/internal/proxy/admission/gate.go
@@ -89,9 +89,9 @@
 	return &Gate{limit: float64(limit), maxLimit: float64(maxLimit)}
 }
 
-// Share makes the gate admit work only when a connection is available for it, and prefer work whose
+// UseConnections makes the gate admit work only when a connection is available for it, and prefer work whose
 // principal has an idle one. It must be called before the gate is used.
-func (g *Gate) Share(connections Connections) { g.connections = connections }
+func (g *Gate) UseConnections(connections Connections) { g.connections = connections }
 
 // Request describes work that asks for admission.
 type Request struct {
@@ -103,8 +103,8 @@
 	Late bool
 	// Principal is the identity under which the work runs. Holds is set if the work already has a
 	// connection.
-	Principal string
-	Holds     bool
+	Principal     string
+	HasConnection bool
 }
 
 func (r *Request) rank() time.Time {
@@ -119,7 +119,7 @@
 // work must call Leave.
 func (g *Gate) Enter(request Request, deadline time.Time) bool {
 	w := &waiter{
-		rank: request.rank(), arrived: request.Arrived, class: request.Class, principal: request.Principal, hasConnection: request.Holds, admitted: make(chan struct{}),
+		rank: request.rank(), arrived: request.Arrived, class: request.Class, principal: request.Principal, hasConnection: request.HasConnection, admitted: make(chan struct{}),
 	}
 	now := time.Now()
 	g.mutex.Lock()
--- a/internal/proxy/admission/throughput.go
+++ b/internal/proxy/admission/throughput.go
@@ -74,19 +74,19 @@
 	return exclusive + min(shared, max(0, remaining))
 }
 
-// Outlook is the load of a gate and the expected wait of new work at each level.
-type Outlook struct {
+// Forecast is the load of a gate and the expected wait of new work at each level.
+type Forecast struct {
 	Running, Waiting, Limit int
 	// Anywhere is the wait of work that other servers could run, too. OnlyHere is the wait of work
 	// that only this server can run.
 	Anywhere, OnlyHere [urgency.Levels]time.Duration
 }
 
-// Outlook returns the load and the expected waits of new work.
-func (g *Gate) Outlook(now time.Time) Outlook {
+// Forecast returns the load and the expected waits of new work.
+func (g *Gate) Forecast(now time.Time) Forecast {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	outlook := Outlook{Running: g.running, Waiting: len(g.waiting), Limit: int(g.limit)}
+	outlook := Forecast{Running: g.running, Waiting: len(g.waiting), Limit: int(g.limit)}
 	if g.running < int(g.limit) && len(g.waiting) == 0 {
 		return outlook
 	}
--- a/internal/proxy/backends/backends.go
+++ b/internal/proxy/backends/backends.go
@@ -38,9 +38,9 @@
 type Options struct {
 	Name string
 	Zone string
-	// Life identifies the incarnation of this process.
-	Life    string
-	Regions map[string]string
+	// Incarnation identifies the incarnation of this process.
+	Incarnation string
+	Regions     map[string]string
 	// DrainBound is the time within which a draining server must stop receiving new work.
 	DrainBound time.Duration
 	// EvacuationBound is the time within which the servers of an evacuated zone must stop receiving
@@ -98,9 +98,9 @@
 	Degraded atomic.Bool
 	// refreshingLeases is set while a listing of the leases is scheduled.
 	refreshingLeases atomic.Bool
-	// Informed is closed once the node has a configuration and a directory.
-	Informed     chan struct{}
-	informedOnce sync.Once
+	// CatalogLoaded is closed once the node has a configuration and a directory.
+	CatalogLoaded chan struct{}
+	informedOnce  sync.Once
 	// links lead to the nodes that own connections; Owner serves the connections of this node.
 	links *remote.Links
 	Owner *remote.Owner
@@ -122,7 +122,7 @@
 	b := &Backends{
 		Network: network, options: options, ports: ports, log: network.Log, catalog: network.Catalog,
 		metrics: newBackendMetrics(), started: network.Started, beforePoll: beforePoll,
-		Informed: make(chan struct{}), pollNow: make(chan struct{}, 1),
+		CatalogLoaded: make(chan struct{}), pollNow: make(chan struct{}, 1),
 	}
 	b.links = remote.NewLinks(remote.LinksConfig{Dial: b.dialOwner, OnProof: b.ownerProved, OnReport: b.OwnerReported})
 	b.Owner = remote.NewOwner(b)
--- a/internal/proxy/backends/campaign.go
+++ b/internal/proxy/backends/campaign.go
@@ -47,7 +47,7 @@
 
 // clearTimeout bounds the wait for leases to end. A voter that has just started must assume that it
 // granted leases until its start.
-const clearTimeout = quorum.LeaseSpan + 300*time.Millisecond
+const clearTimeout = quorum.LeaseDuration + 300*time.Millisecond
 
 func preparedFrom(ballot uint64, result *tenure.Result) failover.Prepared {
 	event := failover.Prepared{Agreed: result.Agreed, Highest: result.Highest, Busy: !result.Agreed && result.Highest < ballot}
@@ -55,7 +55,7 @@
 		return event
 	}
 	merged := quorum.Merge(result.Records)
-	event.Term, event.Loose, event.LooseFor = merged.Term, result.Loose, result.LooseFor
+	event.Term, event.Loose, event.LooseFor = merged.Term, result.Unconfirmed, result.UnconfirmedFor
 	if merged.Ordering {
 		event.Bound, event.BoundBallot = merged.Chosen.Primary, merged.Chosen.Ballot
 	} else {
@@ -124,9 +124,9 @@
 	results := make(chan *upstream.Status, 1+maxWitnesses)
 	requests := 1
 	go func() { results <- s.backends.Demote(id) }()
-	for _, member := range s.backends.SomeMembers(maxWitnesses) {
+	for _, member := range s.backends.RandomMembers(maxWitnesses) {
 		requests++
-		go func() { results <- s.backends.AskToDemote(ctx, &member, id) }()
+		go func() { results <- s.backends.RequestDemotion(ctx, &member, id) }()
 	}
 	event := failover.SteppedDown{Server: id}
 	if status := firstStatus(ctx, results, requests); status != nil {
--- a/internal/proxy/backends/headroom.go
+++ b/internal/proxy/backends/headroom.go
@@ -9,34 +9,34 @@
 	"dewknot/internal/base/eventlog"
 	"dewknot/internal/proxy/admission"
 	"dewknot/internal/proxy/cold"
-	"dewknot/internal/proxy/told"
+	"dewknot/internal/proxy/loadreport"
 	"dewknot/internal/proxy/urgency"
 )
 
-// Known returns what the owner has reported about the work waiting for the server, and the report's
+// ReportedLoad returns what the owner has reported about the work waiting for the server, and the report's
 // age.
-func (t *Server) Known(class admission.Class, level urgency.Level, now time.Time) (admission.Known, time.Duration) {
-	report, age, recent := t.Told.Newest(now)
+func (t *Server) ReportedLoad(class admission.Class, level urgency.Level, now time.Time) (admission.QueueEstimate, time.Duration) {
+	report, age, recent := t.LoadReports.Newest(now)
 	if !recent {
-		return admission.Known{}, 0
+		return admission.QueueEstimate{}, 0
 	}
-	wait, _ := t.Wait(class, level, now)
-	return admission.Known{Recent: true, Wait: wait, Waiting: int(report.Waiting), Sent: int(t.Remote.Load())}, age
+	wait, _ := t.ReportedWait(class, level, now)
+	return admission.QueueEstimate{Recent: true, Wait: wait, Waiting: int(report.Waiting), Sent: int(t.Remote.Load())}, age
 }
 
-// Wait returns the wait for work as reported by the server's owner; false if there is no recent
+// ReportedWait returns the wait for work as reported by the server's owner; false if there is no recent
 // report.
-func (t *Server) Wait(class admission.Class, level urgency.Level, now time.Time) (time.Duration, bool) {
+func (t *Server) ReportedWait(class admission.Class, level urgency.Level, now time.Time) (time.Duration, bool) {
 	if class == admission.Anywhere {
-		return t.Told.Wait(now, level)
+		return t.LoadReports.Wait(now, level)
 	}
-	return t.Told.WaitOnlyHere(now, level)
+	return t.LoadReports.WaitOnlyHere(now, level)
 }
 
 // Admit waits for a slot for work on this node's own connections to a server, and reports whether
 // the work may run. Requests to a cold server are rate limited first.
 func (b *Backends) Admit(target *Server, request admission.Request, deadline time.Time) bool {
-	if !target.cold.Take(time.Now(), b.coldBound(target.service), request.Class == admission.Continuation) {
+	if !target.cold.Allow(time.Now(), b.coldBound(target.service), request.Class == admission.Continuation) {
 		return false
 	}
 	return target.Gate.Enter(request, deadline)
@@ -60,35 +60,35 @@
 }
 
 // OwnerReported records an owner's load report of a server.
-func (b *Backends) OwnerReported(id string, sent time.Time, report *told.Report) {
+func (b *Backends) OwnerReported(id string, sent time.Time, report *loadreport.Report) {
 	target := b.Server(id)
 	if target == nil {
 		return
 	}
-	target.Told.Observe(sent, report)
+	target.LoadReports.Observe(sent, report)
 	if report.Behind > 0 {
-		target.Stats.FoundBehind(time.Now(), time.Duration(report.Behind)*time.Millisecond)
+		target.Stats.RecordLag(time.Now(), time.Duration(report.Behind)*time.Millisecond)
 	}
 }
 
-// LeastBehind is the smallest lag that is reported of a server. Below it a replica can serve reads
+// MinReportedLag is the smallest lag that is reported of a server. Below it a replica can serve reads
 // with common staleness bounds, and the estimate is no more precise than a round trip between
 // regions.
-const LeastBehind = 200 * time.Millisecond
+const MinReportedLag = 200 * time.Millisecond
 
 // Report implements remote.Server.
-func (o *ownedServer) Report() told.Report {
+func (o *ownedServer) Report() loadreport.Report {
 	now := time.Now()
-	outlook := o.Gate.Outlook(now)
-	report := told.Report{
+	outlook := o.Gate.Forecast(now)
+	report := loadreport.Report{
 		Sequence: o.service.backends.reportSequence.Add(1), Running: uint16(outlook.Running),
 		Waiting: uint16(outlook.Waiting), Limit: uint16(outlook.Limit),
 	}
 	for level := range report.Waits {
-		report.Waits[level], report.Kept[level] = told.Milliseconds(outlook.Anywhere[level]),
-			told.Milliseconds(outlook.OnlyHere[level])
+		report.Waits[level], report.WaitsOnlyHere[level] = loadreport.Milliseconds(outlook.Anywhere[level]),
+			loadreport.Milliseconds(outlook.OnlyHere[level])
 	}
-	report.Behind = told.Milliseconds(o.behind(now))
+	report.Behind = loadreport.Milliseconds(o.behind(now))
 	return report
 }
 
@@ -96,23 +96,23 @@
 // position; 0 if no recent answer shows a lag.
 func (o *ownedServer) behind(now time.Time) time.Duration {
 	at, seenAt := o.Stats.Position()
-	if at.IsZero() || now.Sub(seenAt) >= told.Life || o.ID == o.service.Belief.Leader() {
+	if at.IsZero() || now.Sub(seenAt) >= loadreport.MaxAge || o.ID == o.service.Leadership.Leader() {
 		return 0
 	}
-	since, lacks := o.service.Proofs.Lacking(at)
-	if behind := seenAt.Sub(since); lacks && behind >= LeastBehind {
+	since, lacks := o.service.Proofs.FirstMissing(at)
+	if behind := seenAt.Sub(since); lacks && behind >= MinReportedLag {
 		return behind
 	}
 	return 0
 }
 
-// TurnedAwayRest is how long after the last rejection a service counts as no longer rejecting work.
+// RejectionQuietPeriod is how long after the last rejection a service counts as no longer rejecting work.
 // It is longer than rejected callers usually wait before they retry.
-const TurnedAwayRest = 2 * time.Second
+const RejectionQuietPeriod = 2 * time.Second
 
-// TurnedAway tracks whether a service rejects work for lack of headroom. It is safe for concurrent
+// Rejections tracks whether a service rejects work for lack of headroom. It is safe for concurrent
 // use.
-type TurnedAway struct {
+type Rejections struct {
 	mu    sync.Mutex
 	since time.Time
 	last  time.Time
@@ -121,9 +121,9 @@
 	mostUrgent urgency.Level
 }
 
-// Refused records a rejection. It reports whether it is the first one, or of a more urgent level
+// Record records a rejection. It reports whether it is the first one, or of a more urgent level
 // than all before.
-func (t *TurnedAway) Refused(now time.Time, level urgency.Level) bool {
+func (t *Rejections) Record(now time.Time, level urgency.Level) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	notable := t.since.IsZero() || level < t.mostUrgent
@@ -135,12 +135,12 @@
 	return notable
 }
 
-// Over reports, once, that the service no longer rejects work. It returns how many requests were
+// Ended reports, once, that the service no longer rejects work. It returns how many requests were
 // rejected, over which time, and their most urgent level.
-func (t *TurnedAway) Over(now time.Time) (count int, lasted time.Duration, mostUrgent urgency.Level, ended bool) {
+func (t *Rejections) Ended(now time.Time) (count int, lasted time.Duration, mostUrgent urgency.Level, ended bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.since.IsZero() || now.Sub(t.last) < TurnedAwayRest {
+	if t.since.IsZero() || now.Sub(t.last) < RejectionQuietPeriod {
 		return 0, 0, 0, false
 	}
 	count, lasted, mostUrgent = t.count, t.last.Sub(t.since), t.mostUrgent
@@ -150,13 +150,13 @@
 
 // logHeadroomRegained logs that the service no longer rejects work.
 func (s *Service) logHeadroomRegained(now time.Time) {
-	if count, lasted, mostUrgent, ended := s.TurnedAway.Over(now); ended {
+	if count, lasted, mostUrgent, ended := s.Rejections.Ended(now); ended {
 		s.backends.log.Write(eventlog.RoomRegained, zap.String("service", s.Name), zap.Int("refused", count),
 			zap.Duration("lasted", lasted), zap.Uint8("level", uint8(mostUrgent)))
 	}
 }
 
-// Count counts a decision that was made about work of a level for lack of headroom.
-func (s *Service) Count(level urgency.Level, decision string) {
+// CountDecision counts a decision that was made about work of a level for lack of headroom.
+func (s *Service) CountDecision(level urgency.Level, decision string) {
 	s.backends.metrics.headroom.WithLabelValues(s.Name, level.String(), decision).Inc()
 }
--- a/internal/proxy/backends/health.go
+++ b/internal/proxy/backends/health.go
@@ -18,8 +18,8 @@
 	pollInterval = 100 * time.Millisecond
 	// maxPollGap is the longest gap between polls; after a longer one the process was suspended.
 	maxPollGap = 250 * time.Millisecond
-	// SilenceLimit is how long requests to a server may stay unanswered before it is pinged.
-	SilenceLimit = 250 * time.Millisecond
+	// SilenceTimeout is how long requests to a server may stay unanswered before it is pinged.
+	SilenceTimeout = 250 * time.Millisecond
 	// idleTimeout is how long a primary without work may send nothing before the lease holder pings
 	// it.
 	idleTimeout = time.Second
@@ -68,7 +68,7 @@
 			}
 			return true
 		})
-		if b.TrafficDue(now.Sub(lastTrafficLog)) {
+		if b.TrafficLogDue(now.Sub(lastTrafficLog)) {
 			lastTrafficLog = now
 			b.LogTraffic()
 		}
@@ -103,14 +103,14 @@
 	if s.backends.Tenures == nil && (target == nil || down) {
 		s.findPrimary()
 	}
-	s.outage.Note(now, target != nil && !down)
+	s.outage.Record(now, target != nil && !down)
 	if s.backends.Tenures != nil {
 		view := s.backends.Tenures.View(s.Name)
-		s.leaseOutage.Note(now, view != nil && view.Covers(now))
+		s.leaseOutage.Record(now, view != nil && view.Covers(now))
 	}
 	observation := s.observe(leader, down)
 	if observation.Voiceless && s.holdsLease() {
-		s.Warm(upstream.Own)
+		s.Prewarm(upstream.Own)
 	}
 	s.submit(failover.Observed{Observation: observation})
 }
@@ -150,11 +150,11 @@
 	if s.health.missedPings > 0 {
 		return true
 	}
-	idle := target.Stats.SinceSign(now)
+	idle := target.Stats.SinceAnyAnswer(now)
 	if failures, _ := target.Stats.Failures(); failures > 0 {
 		return true
 	}
-	if target.Stats.Unanswered(now) > SilenceLimit {
+	if target.Stats.Unanswered(now) > SilenceTimeout {
 		return true
 	}
 	return idle > idleTimeout && s.holdsLease()
@@ -163,7 +163,7 @@
 func (s *Service) holdsLease() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.machine.Holding()
+	return s.machine.HoldsLease()
 }
 
 func (s *Service) ping(target *Server) {
@@ -232,10 +232,10 @@
 	go func() {
 		defer s.findingPrimary.Unlock()
 		now := time.Now()
-		current := s.Belief.Leader()
+		current := s.Leadership.Leader()
 		for _, entry := range s.backends.catalog.Current().ByService[s.Name] {
 			target := s.backends.Server(entry.ID)
-			if entry.ID == current || entry.Gone || target == nil || s.Belief.Refuted(entry.ID, now) ||
+			if entry.ID == current || entry.Gone || target == nil || s.Leadership.RecentlyDenied(entry.ID, now) ||
 				target.Stats.Avoided(now) {
 				continue
 			}
--- a/internal/proxy/backends/incarnations.go
+++ b/internal/proxy/backends/incarnations.go
@@ -33,14 +33,14 @@
 // log.
 func (b *Backends) endEarlierIncarnation(entry *catalog.Server) logLossState {
 	previous := b.Server(entry.ID)
-	if previous == nil || previous.incarnation == entry.Born {
+	if previous == nil || previous.incarnation == entry.Incarnation {
 		return logLossState{}
 	}
 	service := b.Service(entry.Service)
 	loss := logLossState{since: time.Now(), knownPosition: service.Proofs.Newest().Position}
 	b.forgetServer(entry.ID)
 	b.log.Write(eventlog.ServerReborn, zap.String("server", entry.ID), zap.String("service", entry.Service),
-		zap.Int64("born", entry.Born), zap.Int64("before", previous.incarnation), zap.Stringer("known", loss.knownPosition))
+		zap.Int64("born", entry.Incarnation), zap.Int64("before", previous.incarnation), zap.Stringer("known", loss.knownPosition))
 	b.metrics.restarts.Inc()
 	return loss
 }
--- a/internal/proxy/backends/indirect_path.go
+++ b/internal/proxy/backends/indirect_path.go
@@ -28,15 +28,15 @@
 		return
 	}
 	target.indirectPath.Store(&indirectPath{via: *witnessAddress, expires: time.Now().Add(indirectPathDuration)})
-	target.Pool.Renew()
-	target.Stats.Forgive()
+	target.Pool.Reset()
+	target.Stats.ResetFailures()
 	s.backends.log.Write(eventlog.DetourTaken, zap.String("service", s.Name), zap.String("server", id),
 		zap.String("via", *witnessAddress))
 }
 
-// DetourTo returns the address of the node through which a server is reached, and whether there is
+// IndirectPathTo returns the address of the node through which a server is reached, and whether there is
 // one.
-func (b *Backends) DetourTo(id string) (string, bool) {
+func (b *Backends) IndirectPathTo(id string) (string, bool) {
 	target := b.Server(id)
 	if target == nil {
 		return "", false
--- a/internal/proxy/backends/leases.go
+++ b/internal/proxy/backends/leases.go
@@ -25,10 +25,10 @@
 	briefStoreTimeout = 150 * time.Millisecond
 )
 
-// ReadLeases reads, at the start, the leases that an earlier incarnation of this node may hold.
+// LoadLeases reads, at the start, the leases that an earlier incarnation of this node may hold.
 // Missing leases are created later, once the members are known. A node of a fleet that starts for
 // the first time has no earlier incarnation.
-func (b *Backends) ReadLeases(ctx context.Context) {
+func (b *Backends) LoadLeases(ctx context.Context) {
 	if b.options.FirstStart {
 		return
 	}
@@ -68,13 +68,13 @@
 		if b.Stopping.Load() {
 			return
 		}
-		b.LookAtLeases(context.Background())
+		b.PollLeases(context.Background())
 	})
 }
 
-// LookAtLeases reads the leases' holders and deputies if any lease has changed.
-func (b *Backends) LookAtLeases(ctx context.Context) {
-	objects, changed, err := b.ListChanged(ctx, b.options.Kinds.Leases, network.StoreCallLimit)
+// PollLeases reads the leases' holders and deputies if any lease has changed.
+func (b *Backends) PollLeases(ctx context.Context) {
+	objects, changed, err := b.ListChanged(ctx, b.options.Kinds.Leases, network.StoreCallTimeout)
 	if err == nil && changed {
 		b.submitLeases(objects)
 	}
@@ -88,14 +88,14 @@
 const leaseRetryDelay = time.Second
 
 func (b *Backends) listLeases(ctx context.Context) ([]objectstore.Object, bool) {
-	objects, err := b.ListShared(ctx, b.options.Kinds.Leases, network.StoreCallLimit)
+	objects, err := b.ListShared(ctx, b.options.Kinds.Leases, network.StoreCallTimeout)
 	return objects, err == nil
 }
 
-// MakeLeases creates the missing leases of the services for which this node ranks first among the
+// CreateLeases creates the missing leases of the services for which this node ranks first among the
 // members. This spreads the holders over the nodes, and each lease is created about once when a
 // fleet starts. Nodes with different lists of members may both try; one of them gets a conflict.
-func (b *Backends) MakeLeases(ctx context.Context) bool {
+func (b *Backends) CreateLeases(ctx context.Context) bool {
 	configuration := b.catalog.Current().Configuration
 	if configuration == nil {
 		return false
@@ -130,7 +130,7 @@
 		}
 		return existing, ok
 	}
-	limited, cancel := context.WithTimeout(ctx, network.StoreCallLimit)
+	limited, cancel := context.WithTimeout(ctx, network.StoreCallTimeout)
 	defer cancel()
 	for _, name := range services {
 		_, err := b.ports.Store.GetStale(limited, b.options.Kinds.Leases, name)
@@ -200,7 +200,7 @@
 }
 
 func (s *Service) readLease() {
-	timeout := network.StoreCallLimit
+	timeout := network.StoreCallTimeout
 	if s.backends.StoreLost() {
 		timeout = silentStoreTimeout
 	}
@@ -254,7 +254,7 @@
 		s.submit(failover.LeaseWritten{Result: failover.Uncertain})
 		return
 	}
-	timeout := network.StoreCallLimit
+	timeout := network.StoreCallTimeout
 	if effect.Brief {
 		timeout = briefStoreTimeout
 	}
--- a/internal/proxy/backends/owners.go
+++ b/internal/proxy/backends/owners.go
@@ -51,13 +51,13 @@
 	until   time.Time
 }
 
-// Lend returns a connection to a server for callers' work in the name of a principal. It is a
+// Acquire returns a connection to a server for callers' work in the name of a principal. It is a
 // connection of this node, or one of the server's owner.
-func (b *Backends) Lend(target *Server, principal upstream.Principal, deadline time.Time) (*upstream.Lease, error) {
+func (b *Backends) Acquire(target *Server, principal upstream.Principal, deadline time.Time) (*upstream.Lease, error) {
 	if !b.AwaitMembers(deadline) {
 		return nil, upstream.ErrNoConnection
 	}
-	owners := b.OwnersBefore(target)
+	owners := b.PrecedingOwners(target)
 	if len(owners) == 0 {
 		return target.Pool.Get(principal, deadline)
 	}
@@ -72,9 +72,9 @@
 		func() { target.skipOwner(address, len(owners)) }), nil
 }
 
-// OwnersBefore returns the nodes through which this node reaches a server, best first. It returns
+// PrecedingOwners returns the nodes through which this node reaches a server, best first. It returns
 // none if this node opens its own connections.
-func (b *Backends) OwnersBefore(target *Server) []string {
+func (b *Backends) PrecedingOwners(target *Server) []string {
 	members := b.Members.Load()
 	if members == nil || b.ports.Peers == nil {
 		return nil
@@ -209,7 +209,7 @@
 		return nil
 	}
 	owned := &ownedServer{Server: target, service: b.Service(target.service)}
-	owned.service.Used(time.Now())
+	owned.service.MarkUsed(time.Now())
 	return owned
 }
 
@@ -219,9 +219,9 @@
 	service *Service
 }
 
-// Lend implements remote.Server. The connection is always one of this node, so that operations
+// Acquire implements remote.Server. The connection is always one of this node, so that operations
 // never pass through two owners.
-func (o *ownedServer) Lend(principal upstream.Principal, deadline time.Time) (*upstream.Lease, error) {
+func (o *ownedServer) Acquire(principal upstream.Principal, deadline time.Time) (*upstream.Lease, error) {
 	if !o.service.Usable(o.ID, time.Now()) {
 		return nil, &upstream.RefusedError{Outcome: upstream.Unreached, Detail: "the server leaves"}
 	}
@@ -244,7 +244,7 @@
 
 // Enter implements remote.Server.
 func (o *ownedServer) Enter(request admission.Request, deadline time.Time) bool {
-	if request.Class != admission.Continuation && admission.Overfull(o.Gate.Wait(request), time.Until(deadline)) {
+	if request.Class != admission.Continuation && admission.WaitTooLong(o.Gate.Wait(request), time.Until(deadline)) {
 		return false
 	}
 	return o.service.backends.Admit(o.Server, request, deadline)
@@ -252,7 +252,7 @@
 
 // Leave implements remote.Server.
 func (o *ownedServer) Leave(class admission.Class, batch *upstream.Batch, result *upstream.Result) {
-	o.Gate.Leave(class, EndOf(batch, result), time.Now())
+	o.Gate.Leave(class, AdmissionResult(batch, result), time.Now())
 }
 
 // Proof implements remote.Server.
@@ -260,13 +260,13 @@
 	newest := o.service.Proofs.Newest()
 	now := time.Now()
 	if now.Sub(newest.At) > maxProofAge {
-		go o.service.RefreshProof(now.Add(ProofLimit))
+		go o.service.RefreshProof(now.Add(ProofTimeout))
 	}
 	return newest.At, newest.Position
 }
 
-// EndOf returns the result of admitted work for its gate.
-func EndOf(batch *upstream.Batch, result *upstream.Result) admission.Result {
+// AdmissionResult returns the result of admitted work for its gate.
+func AdmissionResult(batch *upstream.Batch, result *upstream.Result) admission.Result {
 	switch {
 	case batch.Err != nil || result == nil:
 		return admission.Other
--- a/internal/proxy/backends/owners_test.go
+++ b/internal/proxy/backends/owners_test.go
@@ -52,7 +52,7 @@
 	requested chan string
 }
 
-func (p *linkPeers) Ask(context.Context, string, relay.Question) (relay.Answer, error) {
+func (p *linkPeers) Ask(context.Context, string, relay.Request) (relay.Answer, error) {
 	return relay.Answer{}, errTestUnreachable
 }
 
@@ -87,8 +87,8 @@
 	return node, node.Server("s1")
 }
 
-// stubNode stubs network.Duties; only MembersChanged may be called.
-type stubNode struct{ network.Duties }
+// stubNode stubs network.Delegate; only MembersChanged may be called.
+type stubNode struct{ network.Delegate }
 
 func (stubNode) MembersChanged() {}
 
@@ -101,7 +101,7 @@
 		node, target := ownersNode(store, &linkPeers{requested: make(chan string, 100)}, dialer, 40)
 		_, _ = node.ListMembers(t.Context(), time.Second)
 		for range 10 {
-			_, err := node.Lend(target, upstream.Own, time.Now().Add(100*time.Millisecond))
+			_, err := node.Acquire(target, upstream.Own, time.Now().Add(100*time.Millisecond))
 			must.ErrorIs(t, err, upstream.ErrNoConnection)
 		}
 		must.Eq(t, int64(0), dialer.dials.Load())
@@ -112,7 +112,7 @@
 			time.Sleep(50 * time.Millisecond)
 			_, _ = node.ListMembers(context.Background(), time.Second)
 		}()
-		_, err := node.Lend(target, upstream.Own, time.Now().Add(time.Second))
+		_, err := node.Acquire(target, upstream.Own, time.Now().Add(time.Second))
 		must.ErrorIs(t, err, errTestUnreachable)
 		must.Positive(t, dialer.dials.Load())
 		node.log.Close()
@@ -124,8 +124,8 @@
 	bubbletest.Test(t, func(t *testing.T) {
 		store, dialer := &memberStore{}, &countingDialer{}
 		node, target := ownersNode(store, &linkPeers{requested: make(chan string, 100)}, dialer, 40)
-		time.Sleep(network.MembersPatience)
-		_, err := node.Lend(target, upstream.Own, time.Now().Add(time.Second))
+		time.Sleep(network.MembersTimeout)
+		_, err := node.Acquire(target, upstream.Own, time.Now().Add(time.Second))
 		must.ErrorIs(t, err, errTestUnreachable)
 		node.log.Close()
 	})
@@ -140,7 +140,7 @@
 		node, target := ownersNode(store, peers, dialer, 20)
 		_, err := node.ListMembers(t.Context(), time.Second)
 		must.NoError(t, err)
-		_, err = node.Lend(target, upstream.Own, time.Now().Add(5*time.Second))
+		_, err = node.Acquire(target, upstream.Own, time.Now().Add(5*time.Second))
 		must.ErrorIs(t, err, errTestUnreachable, must.Sprint("no owner is reachable, so the node dials itself"))
 		close(peers.requested)
 		var requested []string
@@ -159,11 +159,11 @@
 	node, target := ownersNode(store, &linkPeers{requested: make(chan string, 100)}, &countingDialer{}, 15)
 	_, err := node.ListMembers(t.Context(), time.Second)
 	must.NoError(t, err)
-	must.SliceEmpty(t, node.OwnersBefore(target))
+	must.SliceEmpty(t, node.PrecedingOwners(target))
 	store.members = append(store.members, "c1")
 	_, err = node.ListMembers(t.Context(), time.Second)
 	must.NoError(t, err)
-	must.SliceNotEmpty(t, node.OwnersBefore(target))
+	must.SliceNotEmpty(t, node.PrecedingOwners(target))
 	node.log.Close()
 }
 
--- a/internal/proxy/backends/placements_test.go
+++ b/internal/proxy/backends/placements_test.go
@@ -69,7 +69,7 @@
 func TestLargeNodesOwnMoreServers(t *testing.T) {
 	node, _, target := sizedFleet(t)
 	defer node.log.Close()
-	must.SliceNotEmpty(t, node.OwnersBefore(target))
+	must.SliceNotEmpty(t, node.PrecedingOwners(target))
 	owned := map[string]int{}
 	for _, owner := range node.currentPlacements.Load().owners {
 		owned[owner]++
@@ -87,20 +87,20 @@
 func TestUnchangedListingsKeepOwners(t *testing.T) {
 	node, store, target := sizedFleet(t)
 	defer node.log.Close()
-	node.OwnersBefore(target)
+	node.PrecedingOwners(target)
 	before := target.owners.Load()
 	_, err := node.ListMembers(t.Context(), time.Second)
 	must.NoError(t, err)
 	entry := *node.catalog.Current().Servers["s3"]
 	entry.Role, entry.Revision = catalog.Primary, entry.Revision+1
 	node.catalog.MergeDirectory([]catalog.Server{entry}, time.Now())
-	node.OwnersBefore(target)
+	node.PrecedingOwners(target)
 	must.True(t, before == target.owners.Load(), must.Sprint("the ranking was recomputed"))
 
 	delete(store.entries, before.owner)
 	_, err = node.ListMembers(t.Context(), time.Second)
 	must.NoError(t, err)
-	node.OwnersBefore(target)
+	node.PrecedingOwners(target)
 	must.NotEq(t, before.owner, target.owners.Load().owner)
 	must.Eq(t, float64(1), metricValue(t, node, "dewknot_owner_moves_total"))
 }
@@ -180,17 +180,17 @@
 	bubbletest.Test(t, func(t *testing.T) {
 		node, _, target := sizedFleet(t)
 		defer node.log.Close()
-		node.OwnersBefore(target)
+		node.PrecedingOwners(target)
 		before := node.currentPlacements.Load().placements
 		for i := range 50 {
 			node.catalog.MergeDirectory([]catalog.Server{{
 				ID: fmt.Sprintf("late%d", i), Service: "bookings", Address: "s", Zone: "b", Revision: era.Revision(100 + i),
 			}}, time.Now())
-			must.SliceNotEmpty(t, node.OwnersBefore(node.Server(fmt.Sprintf("late%d", i))))
+			must.SliceNotEmpty(t, node.PrecedingOwners(node.Server(fmt.Sprintf("late%d", i))))
 			must.True(t, before == node.currentPlacements.Load().placements, must.Sprint("the placements were recomputed"))
 		}
 		time.Sleep(minPlacementsAge)
-		node.OwnersBefore(target)
+		node.PrecedingOwners(target)
 		must.MapContainsKey(t, node.currentPlacements.Load().owners, "late49")
 	})
 }
--- a/internal/proxy/backends/prewarm.go
+++ b/internal/proxy/backends/prewarm.go
@@ -6,10 +6,10 @@
 	"dewknot/internal/proxy/upstream"
 )
 
-// Warm opens a principal's connections to a service's servers, once, while its callers wait for the
+// Prewarm opens a principal's connections to a service's servers, once, while its callers wait for the
 // first tenure. The callers will continue all at once, and opening a connection takes a slot of the
 // server.
-func (s *Service) Warm(principal upstream.Principal) {
+func (s *Service) Prewarm(principal upstream.Principal) {
 	if s.prewarmed.Swap(true) {
 		return
 	}
@@ -35,7 +35,7 @@
 // prewarmConnection opens a connection to a server, or the link to the node that owns the server's
 // connections.
 func (b *Backends) prewarmConnection(target *Server, principal upstream.Principal) {
-	lease, err := b.Lend(target, principal, time.Now().Add(stepDownTimeout))
+	lease, err := b.Acquire(target, principal, time.Now().Add(stepDownTimeout))
 	if err != nil {
 		return
 	}
--- a/internal/proxy/backends/service.go
+++ b/internal/proxy/backends/service.go
@@ -16,7 +16,7 @@
 	"dewknot/internal/proxy/failover"
 	"dewknot/internal/proxy/freshness"
 	"dewknot/internal/proxy/leadership"
-	"dewknot/internal/proxy/told"
+	"dewknot/internal/proxy/loadreport"
 	"dewknot/internal/proxy/upstream"
 	"dewknot/internal/proxy/urgency"
 )
@@ -42,16 +42,16 @@
 	skippedOwner atomic.Pointer[skippedOwner]
 	// Remote counts this node's work on the server that goes through an owner. Told holds the
 	// owner's load reports.
-	Remote atomic.Int64
-	Told   told.View
+	Remote      atomic.Int64
+	LoadReports loadreport.View
 }
 
 // Service is the runtime state of a service.
 type Service struct {
-	backends *Backends
-	Name     string
-	Belief   *leadership.Belief
-	Proofs   freshness.Proofs
+	backends   *Backends
+	Name       string
+	Leadership *leadership.PrimaryView
+	Proofs     freshness.Proofs
 
 	// proofRefresh lets one goroutine at a time ask the primary for a proof.
 	proofRefresh proofRefresher
@@ -64,10 +64,10 @@
 	health         primaryHealth
 	// outage tracks the time without a primary that answers, leaseOutage the time without leases to
 	// use the primary if nodes agree on tenures.
-	outage      leadership.Outage
-	leaseOutage leadership.Outage
-	// TurnedAway tracks whether the service rejects work for lack of headroom.
-	TurnedAway TurnedAway
+	outage      leadership.OutageEstimator
+	leaseOutage leadership.OutageEstimator
+	// Rejections tracks whether the service rejects work for lack of headroom.
+	Rejections Rejections
 	// prewarmed is set once connections were opened in advance.
 	prewarmed atomic.Bool
 	// replication is a semaphore with one slot. It keeps surveys, which may pause replication,
@@ -88,9 +88,9 @@
 	}
 	rank := b.takeoverRank(name)
 	created := &Service{
-		backends: b, Name: name, Belief: leadership.NewBelief(), replication: make(chan struct{}, 1),
+		backends: b, Name: name, Leadership: leadership.NewPrimaryView(), replication: make(chan struct{}, 1),
 		machine: failover.New(failover.Config{
-			Node: b.options.Name, Life: b.options.Life, Rank: rank, Agreed: b.Tenures != nil,
+			Node: b.options.Name, Incarnation: b.options.Incarnation, RankDelay: rank, UsesTenures: b.Tenures != nil,
 		}),
 	}
 	if b.ports.Trace != nil {
@@ -104,15 +104,15 @@
 // lease.
 const pollAfterUse = 10 * time.Second
 
-// Used records that a statement asks for the service.
-func (s *Service) Used(now time.Time) { s.lastUsed.Store(int64(now.Sub(s.backends.started))) }
+// MarkUsed records that a statement asks for the service.
+func (s *Service) MarkUsed(now time.Time) { s.lastUsed.Store(int64(now.Sub(s.backends.started))) }
 
 // needsPolling reports whether this node polls the service: it holds the lease, takes part in a
 // failover, or has recently served callers of the service. With many services, a node polls only
 // few of them.
 func (s *Service) needsPolling(now time.Time) bool {
 	s.mutex.Lock()
-	acting := s.machine.Holding() || s.machine.Phase() != failover.Watching
+	acting := s.machine.HoldsLease() || s.machine.Phase() != failover.Watching
 	s.mutex.Unlock()
 	lastUsed := s.lastUsed.Load()
 	return acting || (lastUsed > 0 && now.Sub(s.backends.started)-time.Duration(lastUsed) < pollAfterUse)
@@ -136,7 +136,7 @@
 		b.setCeilings()
 	}
 	if Complete(current) && !Complete(previous) {
-		b.informedOnce.Do(func() { close(b.Informed) })
+		b.informedOnce.Do(func() { close(b.CatalogLoaded) })
 	}
 	for id, entry := range current.Servers {
 		if previous.Servers[id] == entry {
@@ -161,13 +161,13 @@
 	if found, ok := b.Servers.Load(entry.ID); !ok {
 		stats := upstream.NewStats()
 		created := &Server{
-			ID: entry.ID, service: entry.Service, incarnation: entry.Born, logLoss: logLoss, Stats: stats,
+			ID: entry.ID, service: entry.Service, incarnation: entry.Incarnation, logLoss: logLoss, Stats: stats,
 			Pool: upstream.NewPool(b.ports.Dialer,
 				upstream.Target{Address: entry.Address, Service: entry.Service, Server: entry.ID},
 				b.connectionCeiling(entry.Service), stats),
 			Gate: newGate(entry.Slots),
 		}
-		created.Gate.Share(poolConnections{created.Pool})
+		created.Gate.UseConnections(poolConnections{created.Pool})
 		created.Pool.OnFree(created.Gate.Wake)
 		b.Servers.Store(entry.ID, created)
 	} else if entry.Leaving() {
@@ -178,8 +178,8 @@
 	}
 	if entry.Role == catalog.Primary && !entry.Gone && b.Tenures == nil {
 		service := b.Service(entry.Service)
-		replaced := service.Belief.Leader() != ""
-		if service.Belief.Announce(entry.ID, entry.Revision) {
+		replaced := service.Leadership.Leader() != ""
+		if service.Leadership.ApplyAnnouncement(entry.ID, entry.Revision) {
 			if replaced {
 				b.RefreshLeases()
 			}
@@ -260,11 +260,11 @@
 
 // Leader returns the primary if this node may use it now, else nil.
 func (s *Service) Leader(now time.Time) *Server {
-	id := s.Belief.Leader()
+	id := s.Leadership.Leader()
 	if id == "" || !s.Usable(id, now) || !s.hasLeases(now) {
 		return nil
 	}
-	if s.backends.Tenures != nil && s.Belief.Refuted(id, now) {
+	if s.backends.Tenures != nil && s.Leadership.RecentlyDenied(id, now) {
 		return nil
 	}
 	return s.backends.Server(id)
@@ -273,9 +273,9 @@
 // OutageLeft returns how long the service is expected to stay without a primary that this node can
 // use.
 func (s *Service) OutageLeft(now time.Time) time.Duration {
-	left := s.outage.Left(now)
+	left := s.outage.ExpectedRest(now)
 	if _, overdue := s.leaseOutage.Overdue(now); overdue {
-		left = max(left, s.leaseOutage.Left(now))
+		left = max(left, s.leaseOutage.ExpectedRest(now))
 	}
 	return left
 }
@@ -283,7 +283,7 @@
 // OutageOutlasts reports whether an outage has lasted longer than usual and is expected to last
 // beyond a deadline.
 func (s *Service) OutageOutlasts(now, deadline time.Time) bool {
-	for _, outage := range []*leadership.Outage{&s.outage, &s.leaseOutage} {
+	for _, outage := range []*leadership.OutageEstimator{&s.outage, &s.leaseOutage} {
 		if left, overdue := outage.Overdue(now); overdue && now.Add(left).After(deadline) {
 			return true
 		}
@@ -365,7 +365,7 @@
 	phase := s.machine.Phase()
 	if phase != s.lastPhase {
 		s.backends.log.Write(eventlog.FailoverPhase, zap.String("service", s.Name), zap.Stringer("phase", phase),
-			zap.String("leader", s.Belief.Leader()), zap.Bool("holding", s.machine.Holding()))
+			zap.String("leader", s.Leadership.Leader()), zap.Bool("holding", s.machine.HoldsLease()))
 		s.backends.metrics.failovers.WithLabelValues(s.Name, phase.String()).Inc()
 		s.lastPhase = phase
 	}
@@ -398,7 +398,7 @@
 	case failover.Order:
 		s.order(effect, decided)
 	case failover.LeaderFound:
-		if s.Belief.Confirm(effect.ID, s.Belief.Term()) {
+		if s.Leadership.Confirm(effect.ID, s.Leadership.Term()) {
 			s.backends.log.Write(eventlog.PrimaryProved, zap.String("by", "survey"),
 				zap.String("service", s.Name), zap.String("server", effect.ID))
 		}
@@ -417,7 +417,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), orderTimeout)
 	defer cancel()
 	outcome := s.backends.ports.Promoter.Promote(ctx, s.Name, effect.Target, s.backends.options.Name, effect.Token)
-	s.backends.log.Write(eventlog.FailoverOrder, zap.String("service", s.Name), zap.String("leader", s.Belief.Leader()),
+	s.backends.log.Write(eventlog.FailoverOrder, zap.String("service", s.Name), zap.String("leader", s.Leadership.Leader()),
 		zap.String("target", effect.Target), zap.Uint64("token", effect.Token), zap.Stringer("outcome", outcome))
 	s.submit(failover.Ordered{Outcome: outcome})
 }
@@ -432,7 +432,7 @@
 // if there is a recent one, else the longer of the local queue's wait and the latency of recent
 // answers.
 func (t *Server) ExpectedWait(request admission.Request, now time.Time) time.Duration {
-	if wait, known := t.Wait(request.Class, urgency.Of(request.Priority), now); known {
+	if wait, known := t.ReportedWait(request.Class, urgency.Of(request.Priority), now); known {
 		return wait
 	}
 	return max(t.Gate.Wait(request), t.Stats.Latency(now))
--- a/internal/proxy/backends/survey.go
+++ b/internal/proxy/backends/survey.go
@@ -152,7 +152,7 @@
 
 // acquireShared acquires a connection that may go through the server's owner.
 func (b *Backends) acquireShared(target *Server, deadline time.Time) (*upstream.Lease, error) {
-	return b.Lend(target, upstream.Own, deadline)
+	return b.Acquire(target, upstream.Own, deadline)
 }
 
 // acquireReserved acquires a connection of this node that is reserved for requests about the
@@ -163,7 +163,7 @@
 
 // probe asks a server to begin and roll back a transaction that only a primary accepts.
 func (s *Service) probe(target *Server, acquire acquireFunc, deadline time.Time) probeResult {
-	sentUnder, hasTenure := s.Hold(target.ID)
+	sentUnder, hasTenure := s.RequestTenure(target.ID)
 	lease, err := acquire(target, deadline)
 	if err != nil {
 		if _, refused := upstream.RefusalOf(err); refused {
@@ -181,16 +181,16 @@
 	}
 	arrived := time.Now()
 	lease.Settle(batch.Last())
-	if s.JudgeBegin(target, batch.First()) && hasTenure && s.Confirmed(sentUnder, arrived, deadline) {
-		s.Proved(target, batch.SentAt, batch.First())
+	if s.CheckBegin(target, batch.First()) && hasTenure && s.Confirm(sentUnder, arrived, deadline) {
+		s.RecordProof(target, batch.SentAt, batch.First())
 		return probePrimary
 	}
 	return probeNotPrimary
 }
 
-// JudgeBegin reports whether a server has accepted a transaction as the primary. It records a
+// CheckBegin reports whether a server has accepted a transaction as the primary. It records a
 // denial by the server.
-func (s *Service) JudgeBegin(target *Server, begin *upstream.Result) bool {
+func (s *Service) CheckBegin(target *Server, begin *upstream.Result) bool {
 	if !s.backends.isCurrent(target) {
 		return false
 	}
@@ -199,7 +199,7 @@
 	case upstream.Succeeded:
 		return true
 	case upstream.NotPrimary:
-		if s.Deny(target.ID, time.Now()) {
+		if s.RecordDenial(target.ID, time.Now()) {
 			s.backends.log.Write(eventlog.PrimaryDenied, zap.String("service", s.Name), zap.String("server", target.ID))
 		}
 	default:
@@ -207,13 +207,13 @@
 	return false
 }
 
-// Proved records an answer that only the primary gives to a request sent at sentAt. If nodes agree
+// RecordProof records an answer that only the primary gives to a request sent at sentAt. If nodes agree
 // on tenures, the caller must have confirmed the answer.
-func (s *Service) Proved(target *Server, sentAt time.Time, result *upstream.Result) {
+func (s *Service) RecordProof(target *Server, sentAt time.Time, result *upstream.Result) {
 	if !s.backends.isCurrent(target) {
 		return
 	}
-	if s.backends.Tenures == nil && s.Belief.Confirm(target.ID, result.Position.Term) {
+	if s.backends.Tenures == nil && s.Leadership.Confirm(target.ID, result.Position.Term) {
 		s.backends.log.Write(eventlog.PrimaryProved, zap.String("by", "answer"), zap.String("service", s.Name),
 			zap.String("server", target.ID), zap.Stringer("position", result.Position))
 	}
@@ -259,7 +259,7 @@
 		time.Sleep(LeaderPause)
 		return
 	}
-	requestDeadline := time.Now().Add(ProofLimit)
+	requestDeadline := time.Now().Add(ProofTimeout)
 	if deadline.Before(requestDeadline) {
 		requestDeadline = deadline
 	}
@@ -268,5 +268,5 @@
 	}
 }
 
-// ProofLimit bounds one request for a proof.
-const ProofLimit = 300 * time.Millisecond
+// ProofTimeout bounds one request for a proof.
+const ProofTimeout = 300 * time.Millisecond
--- a/internal/proxy/backends/tenures.go
+++ b/internal/proxy/backends/tenures.go
@@ -24,16 +24,16 @@
 	}
 	return tenure.New(tenure.Config{
 		Name: b.options.Name, Zone: b.options.Zone, Region: b.options.Regions[b.options.Zone],
-		Address: b.options.MessageAddress, Life: LifeNumber(b.options.Life),
+		Address: b.options.MessageAddress, Incarnation: IncarnationNumber(b.options.Incarnation),
 		Capacity: b.options.Capacity.Weight(),
 		Store:    b.ports.Store, StoreEra: b.StoreEra, Kind: b.options.Kinds.Voters,
 		Sender: b.ports.Messages, Peers: b.votingPeers,
-		Changed: b.tenureChanged, Voiced: b.pollSoon, Log: b.log,
+		OnViewChanged: b.tenureChanged, OnVotersReady: b.pollSoon, Log: b.log,
 	})
 }
 
-// LifeNumber returns a hash of a process's incarnation.
-func LifeNumber(incarnation string) uint64 {
+// IncarnationNumber returns a hash of a process's incarnation.
+func IncarnationNumber(incarnation string) uint64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(incarnation))
 	return hash.Sum64()
@@ -47,9 +47,9 @@
 	}
 	peers := make([]tenure.Peer, 0, len(*members))
 	for _, member := range *members {
-		if member.Messages != "" {
+		if member.MessageAddress != "" {
 			peers = append(peers, tenure.Peer{
-				Name: member.Name, Address: member.Messages, Zone: member.Zone, Region: b.options.Regions[member.Zone],
+				Name: member.Name, Address: member.MessageAddress, Zone: member.Zone, Region: b.options.Regions[member.Zone],
 				Capacity: member.Capacity.Weight(),
 			})
 		}
@@ -71,8 +71,8 @@
 	if view := b.Tenures.View(name); view.Open {
 		primary = view.Tenure.Primary
 	}
-	before := s.Belief.Leader()
-	if s.Belief.Follow(primary) && before != "" {
+	before := s.Leadership.Leader()
+	if s.Leadership.SetAgreed(primary) && before != "" {
 		b.RefreshLeases()
 	}
 }
@@ -85,10 +85,10 @@
 	}
 }
 
-// Hold returns the tenure under which a server may be asked for what only the primary may answer,
+// RequestTenure returns the tenure under which a server may be asked for what only the primary may answer,
 // and whether there is one. If the platform checks fencing tokens, the answer itself is the proof
 // and the tenure is empty.
-func (s *Service) Hold(server string) (quorum.Tenure, bool) {
+func (s *Service) RequestTenure(server string) (quorum.Tenure, bool) {
 	if s.backends.Tenures == nil {
 		return quorum.Tenure{}, true
 	}
@@ -117,10 +117,10 @@
 // had expired: some round trips between regions.
 const confirmTimeout = 400 * time.Millisecond
 
-// Confirmed reports whether an answer to a request sent under a tenure is the primary's: no other
+// Confirm reports whether an answer to a request sent under a tenure is the primary's: no other
 // server can have been ordered to become the primary before it arrived. It may wait for the voters
 // until the deadline.
-func (s *Service) Confirmed(sentUnder quorum.Tenure, arrived, deadline time.Time) bool {
+func (s *Service) Confirm(sentUnder quorum.Tenure, arrived, deadline time.Time) bool {
 	if s.backends.Tenures == nil {
 		return true
 	}
@@ -133,17 +133,17 @@
 	s.backends.metrics.unconfirmed.Inc()
 	s.backends.log.Write(eventlog.AnswerUnproved, zap.String("service", s.Name), zap.String("server", sentUnder.Primary),
 		zap.Uint64("ballot", sentUnder.Ballot), zap.Duration("waited", time.Since(arrived)),
-		zap.Any("leases", s.backends.Tenures.Account(s.Name, arrived)))
+		zap.Any("leases", s.backends.Tenures.LeaseStatus(s.Name, arrived)))
 	return false
 }
 
 // LeaseAccount describes the state of this node's leases for a service; false if the platform
 // checks fencing tokens.
-func (b *Backends) LeaseAccount(service string, now time.Time) (tenure.Account, bool) {
+func (b *Backends) LeaseAccount(service string, now time.Time) (tenure.LeaseStatus, bool) {
 	if b.Tenures == nil {
-		return tenure.Account{}, false
+		return tenure.LeaseStatus{}, false
 	}
-	return b.Tenures.Account(service, now), true
+	return b.Tenures.LeaseStatus(service, now), true
 }
 
 // Covered is like Confirmed, but never waits for the voters. It is for answers that are optional,
@@ -156,24 +156,24 @@
 	return view != nil && view.Tenure == sentUnder && view.Covers(arrived)
 }
 
-// Deny records a server's answer that it is not the primary. It reports whether that changes what
+// RecordDenial records a server's answer that it is not the primary. It reports whether that changes what
 // this node knows.
-func (s *Service) Deny(server string, now time.Time) bool {
+func (s *Service) RecordDenial(server string, now time.Time) bool {
 	if s.backends.Tenures == nil {
-		return s.Belief.Refute(server, now)
+		return s.Leadership.RecordDenialAndClear(server, now)
 	}
-	return s.Belief.Deny(server, now)
+	return s.Leadership.RecordDenial(server, now)
 }
 
 // observeTenure adds the state of the agreement to an observation.
 func (s *Service) observeTenure(observation *failover.Observation, now time.Time) {
-	observation.LeastBallot, observation.Voiceless = s.backends.Tenures.Standing()
+	observation.LeastBallot, observation.Voiceless = s.backends.Tenures.VoterStatus()
 	view := s.backends.Tenures.View(s.Name)
 	if view == nil {
 		observation.Closed = true
 		return
 	}
-	observation.Closed = !view.Open || s.Belief.Refuted(view.Tenure.Primary, now)
+	observation.Closed = !view.Open || s.Leadership.RecentlyDenied(view.Tenure.Primary, now)
 	observation.Highest = view.Highest
 }
 
@@ -181,7 +181,7 @@
 // tenure, even if that is closed, or the current primary if the platform checks fencing tokens.
 func (s *Service) lastPrimary() string {
 	if s.backends.Tenures == nil {
-		return s.Belief.Leader()
+		return s.Leadership.Leader()
 	}
 	if view := s.backends.Tenures.View(s.Name); view != nil {
 		return view.Tenure.Primary
--- a/internal/proxy/backends/witnesses.go
+++ b/internal/proxy/backends/witnesses.go
@@ -29,7 +29,7 @@
 		return false
 	}
 	now := time.Now()
-	if _, indirect := b.DetourTo(id); indirect || target.Stats.Unanswered(now) > SilenceLimit {
+	if _, indirect := b.IndirectPathTo(id); indirect || target.Stats.Unanswered(now) > SilenceTimeout {
 		return false
 	}
 	if failures, _ := target.Stats.Failures(); failures == 0 && target.Stats.SinceAnswer(now) < maxReachedAge {
@@ -45,14 +45,14 @@
 // alternates between zones, since all nodes of one zone may be cut off. Nodes that recently gave no
 // answer come last.
 func (b *Backends) witnesses() []network.Member {
-	members := b.SomeMembers(math.MaxInt)
+	members := b.RandomMembers(math.MaxInt)
 	now := time.Now()
 	perZone := map[string]int{}
 	order := make(map[string]int, len(members))
 	for _, member := range members {
 		order[member.Name] = perZone[member.Zone]
 		perZone[member.Zone]++
-		if b.SilentLately(member.Address, now) {
+		if b.RecentlySilent(member.Address, now) {
 			order[member.Name] += len(members)
 		}
 	}
@@ -63,9 +63,9 @@
 // corroborate asks other nodes, and the lease holder, whether they reach the primary.
 func (s *Service) corroborate(effect failover.Corroborate) failover.Corroborated {
 	node := s.backends
-	ctx, cancel := context.WithTimeout(context.Background(), pingTimeout+network.MemberAnswerLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), pingTimeout+network.MemberAnswerTimeout)
 	defer cancel()
-	question := relay.Question{Server: effect.Server}
+	question := relay.Request{Server: effect.Server}
 	var holder, answers []network.MemberAnswer
 	var witnesses []network.Member
 	var requests sync.WaitGroup
--- a/internal/proxy/caller_test.go
+++ b/internal/proxy/caller_test.go
@@ -161,7 +161,7 @@
 func (f *simulatedFleet) caller(name string, random *rand.Rand) *judge.Caller {
 	tenant := tenantOf(name)
 	return judge.NewCaller(judge.CallerConfig{
-		Name: name, Tenant: tenant, Seed: random, Judge: f.check,
+		Name: name, Tenant: tenant, Random: random, Judge: f.check,
 		Connect: func(random *rand.Rand) (judge.Session, *catalog.Route) {
 			return f.connect(random, testTenants[tenant][0])
 		},
--- a/internal/proxy/catalog/catalog.go
+++ b/internal/proxy/catalog/catalog.go
@@ -106,9 +106,9 @@
 	Role     Role
 	// Revision is the store's revision of the entry.
 	Revision era.Revision
-	// Born identifies the server's incarnation: the start time of its process in milliseconds since
+	// Incarnation identifies the server's incarnation: the start time of its process in milliseconds since
 	// the Unix epoch, or 0 for servers that don't report it.
-	Born int64
+	Incarnation int64
 	// LeavingSince is when this node learned that the server is draining or gone; zero if neither.
 	LeavingSince time.Time
 	// Gone is set if the directory no longer has the entry.
@@ -218,11 +218,11 @@
 	})
 }
 
-// ConfirmDirectory makes servers available again that a store listed after it was restored from an
+// ReinstateServers makes servers available again that a store listed after it was restored from an
 // older copy, although they were known to be gone. It is called some time after the restore. A
 // server whose entry has stayed at the same revision is alive, since entries of dead servers have
 // been removed by then.
-func (c *Catalog) ConfirmDirectory(servers []Server, now time.Time) {
+func (c *Catalog) ReinstateServers(servers []Server, now time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.changeDirectory(now, func(directory map[string]*Server) {
--- a/internal/proxy/catalog/locality.go
+++ b/internal/proxy/catalog/locality.go
@@ -12,8 +12,8 @@
 // Allow reports whether work may run in a region.
 func (h Homes) Allow(region string) bool { return len(h) == 0 || slices.Contains(h, region) }
 
-// Evacuate replaces the set of evacuated zones. It reports whether the set changed.
-func (c *Catalog) Evacuate(zones []string, now time.Time) bool {
+// SetEvacuatedZones replaces the set of evacuated zones. It reports whether the set changed.
+func (c *Catalog) SetEvacuatedZones(zones []string, now time.Time) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	previous := c.current.Load()
--- a/internal/proxy/catalog/merge.go
+++ b/internal/proxy/catalog/merge.go
@@ -10,10 +10,10 @@
 func mergeServer(directory map[string]*Server, server Server, now time.Time) {
 	previous := directory[server.ID]
 	switch {
-	case previous == nil || server.Born > previous.Born:
+	case previous == nil || server.Incarnation > previous.Incarnation:
 		// A new or restarted server takes over nothing from an earlier incarnation.
 		directory[server.ID] = newEntry(server, now)
-	case server.Born < previous.Born:
+	case server.Incarnation < previous.Incarnation:
 		// The entry is of an earlier incarnation, or was written by another program.
 	case server.Revision < previous.Revision:
 	default:
--- a/internal/proxy/catalog/merge_test.go
+++ b/internal/proxy/catalog/merge_test.go
@@ -25,11 +25,11 @@
 		c.MergeDirectory([]Server{server}, now)
 		return c.Current().Servers["s1"]
 	}
-	must.True(t, merge(Server{Born: 10, Revision: 5, Draining: true}).Leaving())
-	must.False(t, merge(Server{Born: 20, Revision: 6}).Leaving())
-	must.Eq(t, 20, merge(Server{Born: 10, Revision: 7, Draining: true}).Born)
+	must.True(t, merge(Server{Incarnation: 10, Revision: 5, Draining: true}).Leaving())
+	must.False(t, merge(Server{Incarnation: 20, Revision: 6}).Leaving())
+	must.Eq(t, 20, merge(Server{Incarnation: 10, Revision: 7, Draining: true}).Incarnation)
 	must.False(t, merge(Server{Revision: 8, Draining: true}).Leaving(), must.Sprint("an entry without a start time is from another writer"))
-	must.Eq(t, 20, merge(Server{Born: 10, Revision: revisionOf(t, 1, 2)}).Born, must.Sprint("the restored entry is of the earlier incarnation"))
+	must.Eq(t, 20, merge(Server{Incarnation: 10, Revision: revisionOf(t, 1, 2)}).Incarnation, must.Sprint("the restored entry is of the earlier incarnation"))
 }
 
 // TestDirectoryOfRestoredStore guards against a restored store that makes gone or draining servers
@@ -51,7 +51,7 @@
 	c.MergeDirectory([]Server{{ID: "back", Revision: revisionOf(t, 1, 5)}, {ID: "new", Revision: revisionOf(t, 1, 6)}}, now)
 	must.False(t, c.Current().Servers["back"].Gone)
 	must.False(t, c.Current().Servers["new"].Gone)
-	c.ConfirmDirectory(restored, now)
+	c.ReinstateServers(restored, now)
 	must.False(t, c.Current().Servers["gone"].Gone, must.Sprint("its entry is unchanged"))
 	must.True(t, c.Current().Servers["drains"].Draining)
 }
--- a/internal/proxy/choose_test.go
+++ b/internal/proxy/choose_test.go
@@ -9,7 +9,7 @@
 	"dewknot/internal/base/bubbletest"
 	"dewknot/internal/proxy/catalog"
 	"dewknot/internal/proxy/freshness"
-	"dewknot/internal/proxy/told"
+	"dewknot/internal/proxy/loadreport"
 )
 
 // TestRecentLoadReportsSendReadsElsewhere guards against reads that are sent to a server whose
@@ -26,20 +26,20 @@
 		chosen := func() map[string]int {
 			counts := map[string]int{}
 			for range 200 {
-				counts[r.choose(freshness.Floor{}).ID]++
+				counts[r.choose(freshness.MinimumPosition{}).ID]++
 			}
 			return counts
 		}
 		counts := chosen()
 		must.Between(t, 50, counts["s1"], 150)
 
-		report := &told.Report{Life: 1, Sequence: 1}
+		report := &loadreport.Report{Incarnation: 1, Sequence: 1}
 		for level := range report.Waits {
-			report.Waits[level] = told.Milliseconds(200 * time.Millisecond)
+			report.Waits[level] = loadreport.Milliseconds(200 * time.Millisecond)
 		}
-		node.Server("s1").Told.Observe(time.Now(), report)
+		node.Server("s1").LoadReports.Observe(time.Now(), report)
 		must.Eq(t, map[string]int{"s2": 200}, chosen())
-		time.Sleep(told.Life)
+		time.Sleep(loadreport.MaxAge)
 		counts = chosen()
 		must.Between(t, 50, counts["s1"], 150)
 	})
--- a/internal/proxy/cold/cold.go
+++ b/internal/proxy/cold/cold.go
@@ -56,9 +56,9 @@
 	return now.Before(l.until)
 }
 
-// Take reports whether a request may be sent now, and counts it if so. New work leaves headroom for
+// Allow reports whether a request may be sent now, and counts it if so. New work leaves headroom for
 // work of open transactions.
-func (l *Limiter) Take(now time.Time, bound Bound, continuation bool) bool {
+func (l *Limiter) Allow(now time.Time, bound Bound, continuation bool) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !now.Before(l.until) || bound.PerSecond <= 0 {
--- a/internal/proxy/cold/cold_test.go
+++ b/internal/proxy/cold/cold_test.go
@@ -29,10 +29,10 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 30).Draw(t, "pause")) * time.Millisecond)
 			sender := &senders[rapid.IntRange(0, Senders-1).Draw(t, "sender")]
 			if !sender.Cold(now) {
-				must.True(t, sender.Take(now, bound, false))
+				must.True(t, sender.Allow(now, bound, false))
 				continue
 			}
-			if sender.Take(now, bound, rapid.Bool().Draw(t, "continues")) {
+			if sender.Allow(now, bound, rapid.Bool().Draw(t, "continues")) {
 				sent = append(sent, now)
 			}
 		}
@@ -52,12 +52,12 @@
 	l.Observe(now, time.Minute)
 	bound := Bound{PerSecond: 20, Overage: 1}
 	newWork := 0
-	for l.Take(now, bound, false) {
+	for l.Allow(now, bound, false) {
 		newWork++
 	}
 	must.Eq(t, 7, newWork)
-	must.True(t, l.Take(now, bound, true))
-	must.True(t, l.Take(now.Add(2*window), bound, false))
+	must.True(t, l.Allow(now, bound, true))
+	must.True(t, l.Allow(now.Add(2*window), bound, false))
 }
 
 func TestNoBound(t *testing.T) {
@@ -65,6 +65,6 @@
 	now := time.Unix(1000, 0)
 	l.Observe(now, time.Minute)
 	for range 1000 {
-		must.True(t, l.Take(now, Bound{Slack: 5}, false))
+		must.True(t, l.Allow(now, Bound{Slack: 5}, false))
 	}
 }
--- a/internal/proxy/degraded.go
+++ b/internal/proxy/degraded.go
@@ -15,11 +15,11 @@
 // and closes sessions that are between transactions, so that other nodes serve these callers.
 func (n *Node) checkDegraded(now time.Time) {
 	signs := n.serverSigns(now)
-	degraded, changed := n.Distrusts(now, signs)
+	degraded, changed := n.EvaluateDegraded(now, signs)
 	n.Degraded.Store(degraded)
 	if changed {
 		n.log.Write(eventlog.NodeDegraded, zap.Bool("degraded", degraded),
-			zap.Int("servers_silent", signs.Silent),
+			zap.Int("servers_silent", signs.Overdue),
 			zap.Int64("sessions", n.sessionCount.Load()))
 		if !degraded {
 			// Other nodes may have taken over leases in the meantime.
@@ -32,16 +32,16 @@
 }
 
 // serverSigns returns what the node has heard from the servers that it uses.
-func (n *Node) serverSigns(now time.Time) network.ServerSigns {
-	var signs network.ServerSigns
+func (n *Node) serverSigns(now time.Time) network.ServerAnswers {
+	var signs network.ServerAnswers
 	n.Servers.Range(func(_, value any) bool {
 		stats := value.(*backends.Server).Stats
-		if heard := now.Add(-stats.SinceSign(now)); heard.After(signs.Heard) {
-			signs.Heard = heard
+		if heard := now.Add(-stats.SinceAnyAnswer(now)); heard.After(signs.LastAnswer) {
+			signs.LastAnswer = heard
 		}
 		failures, _ := stats.Failures()
-		if failures > 0 || stats.Unanswered(now) > backends.SilenceLimit {
-			signs.Silent++
+		if failures > 0 || stats.Unanswered(now) > backends.SilenceTimeout {
+			signs.Overdue++
 		}
 		return true
 	})
--- a/internal/proxy/failover/deputy_test.go
+++ b/internal/proxy/failover/deputy_test.go
@@ -11,12 +11,12 @@
 
 // leaseWithDeputies returns a lease of n1 with two deputies.
 func leaseWithDeputies(epoch uint64) Lease {
-	return Lease{Holder: "n1", Epoch: epoch, Life: "x", Deputies: []string{"n2", "n3"}}
+	return Lease{Holder: "n1", Epoch: epoch, Incarnation: "x", Deputies: []string{"n2", "n3"}}
 }
 
 // newDeputy returns a machine of a node that knows the lease of another node.
 func newDeputy(node, incarnation string, lease Lease) *Machine {
-	machine := New(Config{Node: node, Life: incarnation})
+	machine := New(Config{Node: node, Incarnation: incarnation})
 	machine.Step(at(0), LeaseKnown{Revision: 7, Lease: lease})
 	return machine
 }
@@ -54,7 +54,7 @@
 	settled.Leader = "c"
 	machine.Step(at(1500), Observed{settled})
 	must.Eq(t, Watching, machine.Phase())
-	must.False(t, machine.Holding())
+	must.False(t, machine.HoldsLease())
 }
 
 // TestOnlyDeputiesAct guards against orders without the lease from a node that is no deputy,
@@ -127,7 +127,7 @@
 func TestDeputyKeepsItsTokens(t *testing.T) {
 	machine := newDeputy("n2", "l", leaseWithDeputies(3))
 	must.Eq(t, []Effect{Survey{Except: "a"}}, observeDownWithoutStore(machine, 100))
-	must.SliceEmpty(t, machine.Step(at(1350), LeaseKnown{Revision: 9, Lease: Lease{Holder: "n4", Epoch: 4, Life: "y", Deputies: []string{"n5"}}}))
+	must.SliceEmpty(t, machine.Step(at(1350), LeaseKnown{Revision: 9, Lease: Lease{Holder: "n4", Epoch: 4, Incarnation: "y", Deputies: []string{"n5"}}}))
 	token := orderToken(t, machine, 1400)
 	must.Greater(t, 3*tokensPerEpoch+tokensPerRank, token)
 	must.Less(t, 3*tokensPerEpoch+2*tokensPerRank, token)
--- a/internal/proxy/failover/lease.go
+++ b/internal/proxy/failover/lease.go
@@ -10,8 +10,8 @@
 type Lease struct {
 	Holder string `json:"holder"`
 	Epoch  uint64 `json:"epoch"`
-	// Life identifies the incarnation of the holder's process.
-	Life string `json:"life"`
+	// Incarnation identifies the incarnation of the holder's process.
+	Incarnation string `json:"life"`
 	// Deputies are the nodes that may act for the holder, in this order, while the store does not
 	// answer.
 	Deputies []string `json:"deputies,omitempty"`
@@ -40,7 +40,7 @@
 
 // heldBy reports whether a process holds the lease that was read at a revision.
 func (l *Lease) heldBy(node, incarnation string, revision era.Revision) bool {
-	return l.Holder == node && l.Life == incarnation && l.StoreEra >= revision.Era()
+	return l.Holder == node && l.Incarnation == incarnation && l.StoreEra >= revision.Era()
 }
 
 // handleLeaseKnown processes the lease as read from the store: at startup, or because this node
@@ -74,7 +74,7 @@
 	sameNode := event.Lease.Holder == m.node
 	changed := event.Revision != m.revision
 	m.revision = event.Revision
-	if acting && event.Lease.Life == m.incarnation && sameNode {
+	if acting && event.Lease.Incarnation == m.incarnation && sameNode {
 		// This process wrote the lease in an earlier era of the store.
 		m.needsNewEpoch = true
 		return m.writeNextEpoch(event)
@@ -118,7 +118,7 @@
 
 // newLease returns the lease as this node writes it. It keeps the last ordered target.
 func (m *Machine) newLease() Lease {
-	return Lease{Holder: m.node, Epoch: m.epoch, Life: m.incarnation, Target: m.lease.Target, Ballot: m.lease.Ballot, Term: m.lease.Term, StoreEra: m.storeEra}
+	return Lease{Holder: m.node, Epoch: m.epoch, Incarnation: m.incarnation, Target: m.lease.Target, Ballot: m.lease.Ballot, Term: m.lease.Term, StoreEra: m.storeEra}
 }
 
 func (m *Machine) handleLeaseWritten(now time.Time, event LeaseWritten) []Effect {
--- a/internal/proxy/failover/machine.go
+++ b/internal/proxy/failover/machine.go
@@ -181,24 +181,24 @@
 // Config configures a machine.
 type Config struct {
 	Node string
-	// Life identifies the incarnation of the node's process.
-	Life string
-	// Rank delays a takeover, so that not all nodes try at once.
-	Rank time.Duration
-	// Agreed makes the nodes agree on tenures; see tenure.go.
-	Agreed bool
+	// Incarnation identifies the incarnation of the node's process.
+	Incarnation string
+	// RankDelay delays a takeover, so that not all nodes try at once.
+	RankDelay time.Duration
+	// UsesTenures makes the nodes agree on tenures; see tenure.go.
+	UsesTenures bool
 }
 
 // New returns a machine that knows no lease and no primary.
 func New(cfg Config) *Machine {
-	return &Machine{node: cfg.Node, incarnation: cfg.Life, rankDelay: cfg.Rank, usesTenures: cfg.Agreed, rejectedAt: map[string]time.Time{}}
+	return &Machine{node: cfg.Node, incarnation: cfg.Incarnation, rankDelay: cfg.RankDelay, usesTenures: cfg.UsesTenures, rejectedAt: map[string]time.Time{}}
 }
 
 // Phase returns what the machine is waiting for.
 func (m *Machine) Phase() Phase { return m.phase }
 
-// Holding reports whether this node holds the lease, as far as it knows.
-func (m *Machine) Holding() bool { return m.holdsLease }
+// HoldsLease reports whether this node holds the lease, as far as it knows.
+func (m *Machine) HoldsLease() bool { return m.holdsLease }
 
 // Step processes an event and returns the effects to carry out.
 func (m *Machine) Step(now time.Time, event Event) []Effect {
--- a/internal/proxy/failover/machine_test.go
+++ b/internal/proxy/failover/machine_test.go
@@ -50,18 +50,18 @@
 	if !ok || !machine.leaseRenewed {
 		return effects
 	}
-	must.Eq(t, WriteLease{Revision: machine.revision, Lease: Lease{Holder: machine.node, Epoch: machine.epoch, Life: machine.incarnation}}, write)
+	must.Eq(t, WriteLease{Revision: machine.revision, Lease: Lease{Holder: machine.node, Epoch: machine.epoch, Incarnation: machine.incarnation}}, write)
 	return machine.Step(when, LeaseWritten{Result: Written, Revision: write.Revision + 1})
 }
 
 // newHolder returns a machine that holds the lease at epoch 1.
 func newHolder(t *testing.T) *Machine {
 	t.Helper()
-	machine := New(Config{Node: "n1", Life: "life"})
+	machine := New(Config{Node: "n1", Incarnation: "life"})
 	effects := machine.Step(at(0), LeaseKnown{Missing: true})
-	must.Eq(t, []Effect{WriteLease{Create: true, Lease: Lease{Holder: "n1", Epoch: 1, Life: "life"}}}, effects)
+	must.Eq(t, []Effect{WriteLease{Create: true, Lease: Lease{Holder: "n1", Epoch: 1, Incarnation: "life"}}}, effects)
 	must.SliceEmpty(t, machine.Step(at(1), LeaseWritten{Result: Written, Revision: 7}))
-	must.True(t, machine.Holding())
+	must.True(t, machine.HoldsLease())
 	return machine
 }
 
@@ -142,8 +142,8 @@
 	machine.Step(at(150), surveyedOffsets(10, 11))
 	must.Eq(t, []Effect{ReadLease{}}, machine.Step(at(160), Ordered{Rejected}))
 	// A deputy may have used a higher token of the epoch, so the next epoch begins.
-	must.Eq(t, []Effect{WriteLease{Revision: 7, Lease: Lease{Holder: "n1", Epoch: 2, Life: "life"}}},
-		machine.Step(at(170), LeaseKnown{Revision: 7, Lease: Lease{Holder: "n1", Epoch: 1, Life: "life"}}))
+	must.Eq(t, []Effect{WriteLease{Revision: 7, Lease: Lease{Holder: "n1", Epoch: 2, Incarnation: "life"}}},
+		machine.Step(at(170), LeaseKnown{Revision: 7, Lease: Lease{Holder: "n1", Epoch: 1, Incarnation: "life"}}))
 	must.Eq(t, []Effect{Survey{Except: "a"}}, machine.Step(at(180), LeaseWritten{Result: Written, Revision: 8}))
 	must.Eq(t, []Effect{Order{Target: "b", Token: 2*tokensPerEpoch + 2}}, machine.Step(at(200), surveyedOffsets(10, 11)))
 }
@@ -154,13 +154,13 @@
 	machine.Step(at(150), surveyedOffsets(10, 11))
 	machine.Step(at(160), Ordered{Rejected})
 	must.SliceEmpty(t, machine.Step(at(170), LeaseKnown{Revision: 9, Lease: Lease{Holder: "n2", Epoch: 2}}))
-	must.False(t, machine.Holding())
+	must.False(t, machine.HoldsLease())
 	must.SliceEmpty(t, machine.Step(at(200), Observed{downObservation()}))
 }
 
 // newNonHolder returns a machine of a node that does not hold the lease.
 func newNonHolder(rankDelay time.Duration) *Machine {
-	machine := New(Config{Node: "n2", Life: "life", Rank: rankDelay})
+	machine := New(Config{Node: "n2", Incarnation: "life", RankDelay: rankDelay})
 	machine.Step(at(0), LeaseKnown{Revision: 7, Lease: Lease{Holder: "n1", Epoch: 3}})
 	return machine
 }
@@ -175,7 +175,7 @@
 	must.SliceEmpty(t, machine.Step(at(2900), Observed{downObservation()}))
 	must.Eq(t, []Effect{Corroborate{Server: "a", Superiors: []string{"n1"}}}, machine.Step(at(3000), Observed{downObservation()}))
 	must.Eq(t, []Effect{ReadLease{}}, machine.Step(at(3050), Corroborated{Answers: 3, HolderAnswered: true}))
-	must.Eq(t, []Effect{WriteLease{Revision: 7, Lease: Lease{Holder: "n2", Epoch: 4, Life: "life"}}},
+	must.Eq(t, []Effect{WriteLease{Revision: 7, Lease: Lease{Holder: "n2", Epoch: 4, Incarnation: "life"}}},
 		machine.Step(at(3060), LeaseKnown{Revision: 7, Lease: Lease{Holder: "n1", Epoch: 3}}))
 	// The confirmation is 20 ms old, so the nodes are not asked again.
 	must.Eq(t, []Effect{Survey{Except: "a"}}, machine.Step(at(3070), LeaseWritten{Result: Written, Revision: 9}))
@@ -293,9 +293,9 @@
 }
 
 func TestLeaseOfAnEarlierIncarnationGetsANewEpoch(t *testing.T) {
-	machine := New(Config{Node: "n1", Life: "second"})
-	must.Eq(t, []Effect{WriteLease{Revision: 7, Lease: Lease{Holder: "n1", Epoch: 2, Life: "second"}}},
-		machine.Step(at(0), LeaseKnown{Revision: 7, Lease: Lease{Holder: "n1", Epoch: 1, Life: "first"}}))
+	machine := New(Config{Node: "n1", Incarnation: "second"})
+	must.Eq(t, []Effect{WriteLease{Revision: 7, Lease: Lease{Holder: "n1", Epoch: 2, Incarnation: "second"}}},
+		machine.Step(at(0), LeaseKnown{Revision: 7, Lease: Lease{Holder: "n1", Epoch: 1, Incarnation: "first"}}))
 }
 
 func TestDrainingPrimaryIsHandedOverAtOnce(t *testing.T) {
@@ -416,8 +416,8 @@
 func TestSupersededHolderDoesNotHoldReplicas(t *testing.T) {
 	machine := newHolder(t)
 	machine.Step(at(100), Observed{synchronousObservation(true)})
-	must.Eq(t, []Effect{WriteLease{Revision: 7, Lease: Lease{Holder: "n1", Epoch: 1, Life: "life"}}}, machine.Step(at(110), Corroborated{Answers: 2}))
+	must.Eq(t, []Effect{WriteLease{Revision: 7, Lease: Lease{Holder: "n1", Epoch: 1, Incarnation: "life"}}}, machine.Step(at(110), Corroborated{Answers: 2}))
 	must.SliceEmpty(t, machine.Step(at(120), LeaseWritten{Result: Superseded}))
-	must.False(t, machine.Holding())
+	must.False(t, machine.HoldsLease())
 	must.SliceEmpty(t, machine.Step(at(200), Observed{synchronousObservation(true)}))
 }
--- a/internal/proxy/failover/model_test.go
+++ b/internal/proxy/failover/model_test.go
@@ -99,14 +99,14 @@
 func newWorldWithoutHolder(variant faultyVariant) *world {
 	w := newWorld(variant)
 	w.holderLost = true
-	w.write(WriteLease{Create: true, Lease: Lease{Holder: "n0", Epoch: 1, Life: "n0.1"}})
+	w.write(WriteLease{Create: true, Lease: Lease{Holder: "n0", Epoch: 1, Incarnation: "n0.1"}})
 	w.startNode(1)
 	return w
 }
 
 func (w *world) startNode(i int) {
 	w.incarnations[i]++
-	w.machines[i] = New(Config{Node: fmt.Sprintf("n%d", i), Life: fmt.Sprintf("n%d.%d", i, w.incarnations[i])})
+	w.machines[i] = New(Config{Node: fmt.Sprintf("n%d", i), Incarnation: fmt.Sprintf("n%d.%d", i, w.incarnations[i])})
 	w.pending[i] = nil
 	w.unaware[i] = false
 	w.step(i, w.storedLease())
--- a/internal/proxy/failover/tenure.go
+++ b/internal/proxy/failover/tenure.go
@@ -21,7 +21,7 @@
 	// of the voter table closes all tenures for a round trip or two.
 	closedDelay = 300 * time.Millisecond
 	// boundTargetTimeout is how long campaigns stay bound to a target whose order may be pending.
-	boundTargetTimeout = quorum.LooseSpan
+	boundTargetTimeout = quorum.UnconfirmedWindow
 	// orderWindow is the time after the voters' agreement in which an order is sent.
 	orderWindow = quorum.OrderWindow
 	// busyPause is the pause after another candidate was found to be active.
--- a/internal/proxy/failover/tenure_test.go
+++ b/internal/proxy/failover/tenure_test.go
@@ -12,9 +12,9 @@
 // newTenureHolder returns a machine that holds the lease and agrees on tenures with other nodes.
 func newTenureHolder(t *testing.T) *Machine {
 	t.Helper()
-	machine := New(Config{Node: "n1", Life: "x", Agreed: true})
-	machine.Step(at(0), LeaseKnown{Revision: 7, Lease: Lease{Holder: "n1", Epoch: 3, Life: "x"}})
-	must.True(t, machine.Holding())
+	machine := New(Config{Node: "n1", Incarnation: "x", UsesTenures: true})
+	machine.Step(at(0), LeaseKnown{Revision: 7, Lease: Lease{Holder: "n1", Epoch: 3, Incarnation: "x"}})
+	must.True(t, machine.HoldsLease())
 	return machine
 }
 
@@ -208,8 +208,8 @@
 // TestLeaseTargetIsOpenedAfterVotersLostTheirState guards against needless orders: the lease
 // names the last ordered server, which claims to be the primary in a later term.
 func TestLeaseTargetIsOpenedAfterVotersLostTheirState(t *testing.T) {
-	machine := New(Config{Node: "n1", Life: "x", Agreed: true})
-	machine.Step(at(0), LeaseKnown{Revision: 7, Lease: Lease{Holder: "n1", Epoch: 3, Life: "old", Target: "b", Ballot: 9, Term: 4}})
+	machine := New(Config{Node: "n1", Incarnation: "x", UsesTenures: true})
+	machine.Step(at(0), LeaseKnown{Revision: 7, Lease: Lease{Holder: "n1", Epoch: 3, Incarnation: "old", Target: "b", Ballot: 9, Term: 4}})
 	machine.Step(at(20), LeaseWritten{Result: Written, Revision: 8})
 	observation := Observation{Closed: true, Servers: []Server{{ID: "a"}, {ID: "b"}, {ID: "c"}}}
 	machine.Step(at(100), Observed{observation})
@@ -221,8 +221,8 @@
 // TestLeaseTargetIsOpenedInItsOwnTerm guards against a wait for a later term that never comes:
 // the lease names the last ordered server, and the term that the voters remember is its own.
 func TestLeaseTargetIsOpenedInItsOwnTerm(t *testing.T) {
-	machine := New(Config{Node: "n1", Life: "x", Agreed: true})
-	machine.Step(at(0), LeaseKnown{Revision: 7, Lease: Lease{Holder: "n1", Epoch: 3, Life: "old", Target: "b", Ballot: 9, Term: 4}})
+	machine := New(Config{Node: "n1", Incarnation: "x", UsesTenures: true})
+	machine.Step(at(0), LeaseKnown{Revision: 7, Lease: Lease{Holder: "n1", Epoch: 3, Incarnation: "old", Target: "b", Ballot: 9, Term: 4}})
 	machine.Step(at(20), LeaseWritten{Result: Written, Revision: 8})
 	observation := Observation{Closed: true, Servers: []Server{{ID: "a"}, {ID: "b"}, {ID: "c"}}}
 	machine.Step(at(100), Observed{observation})
@@ -245,7 +245,7 @@
 	effects = machine.Step(at(1760), Held{Agreed: true})
 	written := effects[1].(WriteLease).Lease
 	must.Eq(t, "a", written.Target)
-	next := New(Config{Node: "n1", Life: "y", Agreed: true})
+	next := New(Config{Node: "n1", Incarnation: "y", UsesTenures: true})
 	next.Step(at(5000), LeaseKnown{Revision: 9, Lease: written})
 	next.Step(at(5020), LeaseWritten{Result: Written, Revision: 10})
 	next.Step(at(5100), Observed{observation})
@@ -261,8 +261,8 @@
 // that may be the primary already is ordered again; the lease keeps the term before its first
 // order.
 func TestOrderOfAServerThatMayLeadKeepsItsTerm(t *testing.T) {
-	machine := New(Config{Node: "n1", Life: "x", Agreed: true})
-	machine.Step(at(0), LeaseKnown{Revision: 7, Lease: Lease{Holder: "n1", Epoch: 3, Life: "x", Target: "b", Ballot: 9, Term: 4}})
+	machine := New(Config{Node: "n1", Incarnation: "x", UsesTenures: true})
+	machine.Step(at(0), LeaseKnown{Revision: 7, Lease: Lease{Holder: "n1", Epoch: 3, Incarnation: "x", Target: "b", Ballot: 9, Term: 4}})
 	startCampaign(t, machine, Prepared{Agreed: true, Settled: "a", Term: 4})
 	machine.Step(at(1160), Surveyed{Reports: []Report{report("b", true, 5, 12), report("c", false, 5, 10)}})
 	effects := machine.Step(at(1190), Held{Agreed: true})
--- a/internal/proxy/fleet_test.go
+++ b/internal/proxy/fleet_test.go
@@ -182,7 +182,7 @@
 	}
 	fleet.group = managed.NewGroup(managed.Settings{
 		Name: testService, Zones: fleet.zones, Slots: 3, Queue: 12, Connections: 24,
-		Work: 4 * time.Millisecond, Handshake: 5 * time.Millisecond, ReceiveDelay: 3 * time.Millisecond,
+		StatementTime: 4 * time.Millisecond, Handshake: 5 * time.Millisecond, ReceiveDelay: 3 * time.Millisecond,
 		ApplyDelay: 8 * time.Millisecond, PromotionDelay: 600 * time.Millisecond,
 		NetworkDelay: 2 * time.Millisecond, SynchronousReplicas: synchronousReplicas,
 		Unfenced: cfg.unfenced,
@@ -212,7 +212,7 @@
 	f.listeners[i], f.cancels[i] = listener, cancel
 	node := proxy.New(proxy.Options{
 		Name: name, Zone: f.zones[i%len(f.zones)], PeerAddress: name,
-		Life: strconv.Itoa(f.incarnations), Seeds: f.seeds(),
+		Incarnation: strconv.Itoa(f.incarnations), Seeds: f.seeds(),
 		Regions:            map[string]string{"a": "r1", "b": "r2", "c": "r3"},
 		ConfigurationBound: 4 * time.Second, DrainBound: 7 * time.Second,
 		EvacuationBound: f.evacuationBound, StopGrace: 6 * time.Second,
@@ -222,7 +222,7 @@
 			Voters: managed.VoterKind, Readers: managed.ReaderKind, Evacuations: managed.EvacuationKind,
 		},
 		StrictRevocation: f.strictRevocation, RevocationBound: 5 * time.Second,
-		Agreed: f.agreed, MessageAddress: name, Quotas: f.quotas, TokenAddress: name,
+		UsesTenures: f.agreed, MessageAddress: name, Quotas: f.quotas, TokenAddress: name,
 		FirstStart: f.incarnations <= len(f.listeners),
 	}, proxy.Ports{
 		Store: &linkedStore{f.store.Client(name), f.links, name}, Promoter: f.promoter,
@@ -297,7 +297,7 @@
 	node := d.fleet.nodes[fmt.Sprintf("node-%d", d.node)]
 	d.fleet.mutex.Unlock()
 	if node != nil {
-		if via, detour := node.DetourTo(target.Server); detour {
+		if via, detour := node.IndirectPathTo(target.Server); detour {
 			_, _ = fmt.Sscanf(via, "node-%d", &from)
 		}
 	}
@@ -375,7 +375,7 @@
 
 // setCutOff cuts a node off from all other nodes and from the store, or reconnects it.
 func (f *simulatedFleet) setCutOff(node string, cutOff bool) {
-	f.store.SetCut(node, cutOff)
+	f.store.SetIsolated(node, cutOff)
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.cutOff[node] = cutOff
@@ -388,7 +388,7 @@
 	return !f.cutOff[one] && !f.cutOff[other]
 }
 
-func (p memoryPeers) Ask(ctx context.Context, address string, question relay.Question) (relay.Answer, error) {
+func (p memoryPeers) Ask(ctx context.Context, address string, question relay.Request) (relay.Answer, error) {
 	time.Sleep(2 * time.Millisecond)
 	p.fleet.mutex.Lock()
 	node := p.fleet.nodes[address]
--- a/internal/proxy/freshness/destination.go
+++ b/internal/proxy/freshness/destination.go
@@ -17,8 +17,8 @@
 	AwaitReplica
 )
 
-// Prospect contains the expected waits of such a read.
-type Prospect struct {
+// ReadOptions contains the expected waits of such a read.
+type ReadOptions struct {
 	// PrimaryWait is the expected wait at the primary. PrimaryKnown is set if anything recent is
 	// known about it.
 	PrimaryWait  time.Duration
@@ -39,7 +39,7 @@
 
 // Choose decides where the read runs. The primary's slots are for work that no other server can
 // run. So if work waits for them, a read waits for a replica that can answer it in time.
-func (p *Prospect) Choose() Destination {
+func (p *ReadOptions) Choose() Destination {
 	switch {
 	case !p.PrimaryKnown || p.PrimaryWait <= 0:
 		// The primary has a free slot, or nothing is known about it.
@@ -53,10 +53,10 @@
 	}
 }
 
-// Lacking returns the time since when the primary has had the earliest known position that a server
+// FirstMissing returns the time since when the primary has had the earliest known position that a server
 // at position at lacks. The server is at least that far behind. It returns false if the server
 // lacks none.
-func (p *Proofs) Lacking(at position.Position) (time.Time, bool) {
+func (p *Proofs) FirstMissing(at position.Position) (time.Time, bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for i := range p.count {
--- a/internal/proxy/freshness/destination_test.go
+++ b/internal/proxy/freshness/destination_test.go
@@ -17,7 +17,7 @@
 		milliseconds := func(name string) time.Duration {
 			return time.Duration(rapid.IntRange(-200, 2_000).Draw(t, name)) * time.Millisecond
 		}
-		p := Prospect{
+		p := ReadOptions{
 			PrimaryWait: milliseconds("primary"), PrimaryKnown: rapid.Bool().Draw(t, "known"), CatchUp: milliseconds("catch up"),
 			ReplicaKnown: rapid.Bool().Draw(t, "replica"), Allowed: milliseconds("allowed"), Left: milliseconds("left"),
 		}
@@ -46,7 +46,7 @@
 			proofs.Add(added[i])
 		}
 		at := position.Position{Term: 2, Offset: rapid.Uint64Range(0, 150).Draw(t, "at")}
-		since, lacks := proofs.Lacking(at)
+		since, lacks := proofs.FirstMissing(at)
 		for _, proof := range added {
 			if !at.Covers(proof.Position) {
 				must.True(t, lacks)
@@ -59,9 +59,9 @@
 	promoted := &Proofs{}
 	promoted.Add(Proof{At: start, Position: position.Position{Term: 1, Offset: 90}})
 	promoted.Add(Proof{At: start.Add(time.Second), Position: position.Position{Term: 2, Offset: 50}})
-	_, lacks := promoted.Lacking(position.Position{Term: 2, Offset: 50})
+	_, lacks := promoted.FirstMissing(position.Position{Term: 2, Offset: 50})
 	must.False(t, lacks)
-	since, lacks := promoted.Lacking(position.Position{Term: 1, Offset: 50})
+	since, lacks := promoted.FirstMissing(position.Position{Term: 1, Offset: 50})
 	must.True(t, lacks)
 	must.Eq(t, start.Add(time.Second), since)
 }
--- a/internal/proxy/freshness/freshness.go
+++ b/internal/proxy/freshness/freshness.go
@@ -25,9 +25,9 @@
 	Position position.Position
 }
 
-// Floor is the minimum position that a read must see. Since is a time at which the primary's log
+// MinimumPosition is the minimum position that a read must see. Since is a time at which the primary's log
 // had reached it.
-type Floor struct {
+type MinimumPosition struct {
 	Position position.Position
 	Since    time.Time
 }
@@ -85,13 +85,13 @@
 	return p.newest, !p.newest.At.IsZero() && !p.newest.At.Before(notBefore)
 }
 
-// Floor returns the minimum position for a read that began at a time. The read may miss commits
+// MinimumPosition returns the minimum position for a read that began at a time. The read may miss commits
 // acknowledged within the window before that, but not its own session's commits. It returns false
 // if no proof is recent enough; the primary must then be asked.
-func (p *Proofs) Floor(began time.Time, window time.Duration, own OwnCommit) (Floor, bool) {
+func (p *Proofs) MinimumPosition(began time.Time, window time.Duration, own OwnCommit) (MinimumPosition, bool) {
 	proof, found := p.Oldest(began.Add(-window))
 	if !found {
-		return Floor{}, false
+		return MinimumPosition{}, false
 	}
 	newest := p.Newest()
 	if newest.Position.Term != proof.Position.Term {
@@ -99,7 +99,7 @@
 		// would ever reach it.
 		proof = newest
 	}
-	minimum := Floor{Position: proof.Position, Since: proof.At}
+	minimum := MinimumPosition{Position: proof.Position, Since: proof.At}
 	if own.At.IsZero() || !proof.At.Before(own.At) {
 		// The proof was requested after the commit's answer, so it covers the commit, or a
 		// promotion has removed the commit from the log.
@@ -107,10 +107,10 @@
 	}
 	if own.At.Before(newest.At) && newest.Position.Less(own.Position) {
 		// The newest primary's log lacks the commit: it was rolled back.
-		return Floor{Position: newest.Position, Since: newest.At}, true
+		return MinimumPosition{Position: newest.Position, Since: newest.At}, true
 	}
 	if minimum.Position.Less(own.Position) {
-		minimum = Floor{Position: own.Position, Since: own.At}
+		minimum = MinimumPosition{Position: own.Position, Since: own.At}
 	}
 	return minimum, true
 }
--- a/internal/proxy/freshness/freshness_test.go
+++ b/internal/proxy/freshness/freshness_test.go
@@ -21,12 +21,12 @@
 
 func TestMinimumPositionNeedsRecentProof(t *testing.T) {
 	var proofs Proofs
-	_, found := proofs.Floor(at(0), time.Second, OwnCommit{})
+	_, found := proofs.MinimumPosition(at(0), time.Second, OwnCommit{})
 	must.False(t, found)
 	proofs.Add(Proof{At: at(0), Position: pos(1, 10)})
-	_, found = proofs.Floor(at(1001), time.Second, OwnCommit{})
+	_, found = proofs.MinimumPosition(at(1001), time.Second, OwnCommit{})
 	must.False(t, found)
-	minimum, found := proofs.Floor(at(1000), time.Second, OwnCommit{})
+	minimum, found := proofs.MinimumPosition(at(1000), time.Second, OwnCommit{})
 	must.True(t, found)
 	must.Eq(t, pos(1, 10), minimum.Position)
 }
@@ -36,7 +36,7 @@
 	for i := range 20 {
 		proofs.Add(Proof{At: at(100 * i), Position: pos(1, uint64(i))})
 	}
-	minimum, found := proofs.Floor(at(1900), time.Second, OwnCommit{})
+	minimum, found := proofs.MinimumPosition(at(1900), time.Second, OwnCommit{})
 	must.True(t, found)
 	must.Eq(t, pos(1, 9), minimum.Position)
 }
@@ -45,7 +45,7 @@
 	var proofs Proofs
 	proofs.Add(Proof{At: at(0), Position: pos(1, 10)})
 	own := OwnCommit{At: at(500), Position: pos(1, 20)}
-	minimum, found := proofs.Floor(at(600), time.Second, own)
+	minimum, found := proofs.MinimumPosition(at(600), time.Second, own)
 	must.True(t, found)
 	must.Eq(t, pos(1, 20), minimum.Position)
 	must.Eq(t, at(500), minimum.Since)
@@ -56,7 +56,7 @@
 	proofs.Add(Proof{At: at(0), Position: pos(1, 10)})
 	own := OwnCommit{At: at(500), Position: pos(1, 20)}
 	proofs.Add(Proof{At: at(900), Position: pos(2, 15)})
-	minimum, found := proofs.Floor(at(950), time.Second, own)
+	minimum, found := proofs.MinimumPosition(at(950), time.Second, own)
 	must.True(t, found)
 	must.Eq(t, pos(2, 15), minimum.Position)
 
@@ -64,7 +64,7 @@
 	var same Proofs
 	same.Add(Proof{At: at(0), Position: pos(1, 10)})
 	same.Add(Proof{At: at(900), Position: pos(1, 15)})
-	minimum, found = same.Floor(at(950), time.Second, own)
+	minimum, found = same.MinimumPosition(at(950), time.Second, own)
 	must.True(t, found)
 	must.Eq(t, pos(1, 15), minimum.Position)
 }
@@ -73,7 +73,7 @@
 	var proofs Proofs
 	proofs.Add(Proof{At: at(0), Position: pos(1, 20)})
 	proofs.Add(Proof{At: at(500), Position: pos(2, 15)})
-	minimum, found := proofs.Floor(at(600), time.Second, OwnCommit{})
+	minimum, found := proofs.MinimumPosition(at(600), time.Second, OwnCommit{})
 	must.True(t, found)
 	must.Eq(t, pos(2, 15), minimum.Position)
 }
@@ -140,7 +140,7 @@
 				model.commit()
 			}
 			window := rapid.IntRange(50, 2000).Draw(t, "span")
-			minimum, found := proofs.Floor(at(model.now), time.Duration(window)*time.Millisecond, own)
+			minimum, found := proofs.MinimumPosition(at(model.now), time.Duration(window)*time.Millisecond, own)
 			if !found {
 				continue
 			}
--- a/internal/proxy/headroom.go
+++ b/internal/proxy/headroom.go
@@ -62,14 +62,14 @@
 func (r *run) passesEarlyCheck(target *backends.Server, class admission.Class) bool {
 	now := time.Now()
 	work := r.urgentWork()
-	load, age := target.Known(class, work.Level, now)
-	verdict := admission.Early(&work, now, r.remainingSlotWait(now), load, rand.Float64())
-	if verdict == admission.Ask {
+	load, age := target.ReportedLoad(class, work.Level, now)
+	verdict := admission.Precheck(&work, now, r.remainingSlotWait(now), load, rand.Float64())
+	if verdict == admission.Send {
 		return true
 	}
 	headroom := &r.session.record.headroom
 	headroom.rule, headroom.wait, headroom.age = ruleReportedWait, load.Wait, age
-	if verdict == admission.Refuse {
+	if verdict == admission.Reject {
 		headroom.rule = ruleReportedDeadline
 	}
 	return false
@@ -82,30 +82,30 @@
 		return true
 	}
 	now := time.Now()
-	wait, reported := target.Wait(class, r.work.Level, now)
-	return reported && admission.Overfull(wait, r.remainingSlotWait(now))
+	wait, reported := target.ReportedWait(class, r.work.Level, now)
+	return reported && admission.WaitTooLong(wait, r.remainingSlotWait(now))
 }
 
 // rejectsRead reports whether a read that a server did not run should be rejected, since no other
 // server has headroom either.
-func (r *run) rejectsRead(target *backends.Server, result *upstream.Result, minimum freshness.Floor) bool {
+func (r *run) rejectsRead(target *backends.Server, result *upstream.Result, minimum freshness.MinimumPosition) bool {
 	return result.Outcome == upstream.Busy && r.slotWaitOver(target, admission.Anywhere) &&
 		(r.queueTimedOut() || !r.otherServerFits(target, minimum))
 }
 
 // awaitReplica waits for a replica that is expected to reach the minimum position soon, if that is
 // better than to use the primary that was chosen. It reports whether it has waited.
-func (r *run) awaitReplica(chosen *backends.Server, minimum freshness.Floor) bool {
+func (r *run) awaitReplica(chosen *backends.Server, minimum freshness.MinimumPosition) bool {
 	now := time.Now()
-	if chosen.ID != r.service.Belief.Leader() || chosen.Stats.Avoided(now) {
+	if chosen.ID != r.service.Leadership.Leader() || chosen.Stats.Avoided(now) {
 		return false
 	}
 	work := r.urgentWork()
-	prospect := freshness.Prospect{
+	prospect := freshness.ReadOptions{
 		Allowed: r.remainingSlotWait(now),
 		Left:    min(work.Objective.Sub(now), work.Deadline.Sub(now)) - chosen.Stats.Latency(now),
 	}
-	prospect.PrimaryWait, prospect.PrimaryKnown = chosen.Wait(admission.Anywhere, work.Level, now)
+	prospect.PrimaryWait, prospect.PrimaryKnown = chosen.ReportedWait(admission.Anywhere, work.Level, now)
 	if !prospect.PrimaryKnown {
 		prospect.PrimaryWait = chosen.Gate.Wait(admission.Request{
 			Class: admission.Anywhere, Priority: r.session.bound.Priority, Arrived: r.arrived,
@@ -117,7 +117,7 @@
 		return false
 	}
 	r.session.record.headroom.replicaWait += prospect.CatchUp
-	r.service.Count(work.Level, "awaited_replica")
+	r.service.CountDecision(work.Level, "awaited_replica")
 	r.pause(max(prospect.CatchUp, replicaRetryPause))
 	return true
 }
@@ -125,7 +125,7 @@
 // catchUp returns how long the first replica is expected to take to reach the minimum position, and
 // false without an estimate. It skips replicas at which work waits longer than allowed.
 func (r *run) catchUp(
-	primary *backends.Server, minimum freshness.Floor, now time.Time, allowed time.Duration,
+	primary *backends.Server, minimum freshness.MinimumPosition, now time.Time, allowed time.Duration,
 ) (time.Duration, bool) {
 	first, found := time.Duration(0), false
 	level := r.work.Level
@@ -134,10 +134,10 @@
 		if target == nil || target == primary || !r.service.Usable(entry.ID, now) || target.Stats.Avoided(now) {
 			continue
 		}
-		if wait, _ := target.Wait(admission.Anywhere, level, now); wait > max(allowed, 0) {
+		if wait, _ := target.ReportedWait(admission.Anywhere, level, now); wait > max(allowed, 0) {
 			continue
 		}
-		if after, estimated := target.Stats.CatchesUp(minimum.Position, minimum.Since, now); estimated &&
+		if after, estimated := target.Stats.TimeToReach(minimum.Position, minimum.Since, now); estimated &&
 			(!found || after < first) {
 			first, found = after, true
 		}
@@ -148,17 +148,17 @@
 // recordLag records how far a server at a position is behind the primary. If the server is reached
 // through an owner, the owner reports its lag, and knows it better.
 func (r *run) recordLag(target *backends.Server, at position.Position, now time.Time) {
-	if len(r.session.node.OwnersBefore(target)) > 0 {
+	if len(r.session.node.PrecedingOwners(target)) > 0 {
 		return
 	}
-	if since, lacks := r.service.Proofs.Lacking(at); lacks && now.Sub(since) >= backends.LeastBehind {
-		target.Stats.FoundBehind(now, now.Sub(since))
+	if since, lacks := r.service.Proofs.FirstMissing(at); lacks && now.Sub(since) >= backends.MinReportedLag {
+		target.Stats.RecordLag(now, now.Sub(since))
 	}
 }
 
 // otherServerFits reports whether a server other than the given one has the minimum position and
 // headroom for the work.
-func (r *run) otherServerFits(rejected *backends.Server, minimum freshness.Floor) bool {
+func (r *run) otherServerFits(rejected *backends.Server, minimum freshness.MinimumPosition) bool {
 	now := time.Now()
 	level := r.work.Level
 	for _, entry := range r.session.node.catalog.Current().ByService[r.service.Name] {
@@ -167,7 +167,7 @@
 			!r.service.Usable(entry.ID, now) || target.Stats.Avoided(now) {
 			continue
 		}
-		wait, _ := target.Wait(admission.Anywhere, level, now)
+		wait, _ := target.ReportedWait(admission.Anywhere, level, now)
 		if wait <= r.remainingSlotWait(now) && target.Stats.Covers(minimum.Position, minimum.Since, now) {
 			return true
 		}
@@ -186,8 +186,8 @@
 		headroom.rule = ruleTimedOut
 	}
 	level := r.work.Level
-	r.service.Count(level, string(headroom.rule))
-	if r.service.TurnedAway.Refused(now, level) {
+	r.service.CountDecision(level, string(headroom.rule))
+	if r.service.Rejections.Record(now, level) {
 		r.log().Write(eventlog.RoomShort, zap.String("service", r.service.Name),
 			zap.Uint8("level", uint8(level)), zap.String("rule", string(headroom.rule)),
 			zap.String("server", r.session.record.server), zap.Duration("wait", headroom.wait),
--- a/internal/proxy/headroom_test.go
+++ b/internal/proxy/headroom_test.go
@@ -13,7 +13,7 @@
 	"dewknot/internal/proxy/backends"
 	"dewknot/internal/proxy/catalog"
 	"dewknot/internal/proxy/command"
-	"dewknot/internal/proxy/told"
+	"dewknot/internal/proxy/loadreport"
 	"dewknot/internal/proxy/urgency"
 )
 
@@ -62,17 +62,17 @@
 		defer r.session.node.log.Close()
 		must.Eq(t, 1000, countSent(r, target, admission.Anywhere), must.Sprint("without a load report"))
 		r.session.node.OwnerReported("s1", time.Now(),
-			&told.Report{Life: 1, Sequence: 1, Waits: [urgency.Levels]uint16{0, 400, 4000, 4000}, Waiting: 30})
+			&loadreport.Report{Incarnation: 1, Sequence: 1, Waits: [urgency.Levels]uint16{0, 400, 4000, 4000}, Waiting: 30})
 		must.Between(t, 200, countSent(r, target, admission.Anywhere), 300)
 		must.Eq(t, ruleReportedWait, r.session.record.headroom.rule)
 		must.Eq(t, 1000, countSent(r, target, admission.OnlyHere))
-		time.Sleep(told.Life)
+		time.Sleep(loadreport.MaxAge)
 		must.Eq(t, 1000, countSent(r, target, admission.Anywhere))
 
 		lowPriority, lowTarget := newTestRun(2)
 		defer lowPriority.session.node.log.Close()
 		lowPriority.session.node.OwnerReported("s1", time.Now(),
-			&told.Report{Life: 1, Sequence: 1, Waits: [urgency.Levels]uint16{0, 400, 4000, 4000}, Waiting: 30})
+			&loadreport.Report{Incarnation: 1, Sequence: 1, Waits: [urgency.Levels]uint16{0, 400, 4000, 4000}, Waiting: 30})
 		must.Eq(t, 0, countSent(lowPriority, lowTarget, admission.Anywhere))
 		must.Eq(t, ruleReportedDeadline, lowPriority.session.record.headroom.rule)
 	})
@@ -86,7 +86,7 @@
 		} {
 			r, _ := newTestRun(priority)
 			r.session.node.OwnerReported("s1", time.Now(),
-				&told.Report{Life: 1, Sequence: 1, Waits: [urgency.Levels]uint16{50, 200, 1000, 1000}})
+				&loadreport.Report{Incarnation: 1, Sequence: 1, Waits: [urgency.Levels]uint16{50, 200, 1000, 1000}})
 			must.Eq(t, wait, r.expectedWait(time.Now()))
 			r.session.node.log.Close()
 		}
@@ -98,21 +98,21 @@
 func TestRejectionsAreLoggedOnce(t *testing.T) {
 	start := time.Unix(1_000, 0)
 	at := func(offset time.Duration) time.Time { return start.Add(offset) }
-	var rejections backends.TurnedAway
-	_, _, _, ended := rejections.Over(at(0))
+	var rejections backends.Rejections
+	_, _, _, ended := rejections.Ended(at(0))
 	must.False(t, ended)
-	must.True(t, rejections.Refused(at(0), 2))
-	must.False(t, rejections.Refused(at(time.Second), 2))
-	must.False(t, rejections.Refused(at(time.Second), 3))
-	must.True(t, rejections.Refused(at(2*time.Second), 0))
-	_, _, _, ended = rejections.Over(at(2*time.Second + backends.TurnedAwayRest - 1))
+	must.True(t, rejections.Record(at(0), 2))
+	must.False(t, rejections.Record(at(time.Second), 2))
+	must.False(t, rejections.Record(at(time.Second), 3))
+	must.True(t, rejections.Record(at(2*time.Second), 0))
+	_, _, _, ended = rejections.Ended(at(2*time.Second + backends.RejectionQuietPeriod - 1))
 	must.False(t, ended)
-	count, lasted, level, ended := rejections.Over(at(2*time.Second + backends.TurnedAwayRest))
+	count, lasted, level, ended := rejections.Ended(at(2*time.Second + backends.RejectionQuietPeriod))
 	must.True(t, ended)
 	must.Eq(t, 4, count)
 	must.Eq(t, 2*time.Second, lasted)
 	must.Eq(t, 0, level)
-	_, _, _, ended = rejections.Over(at(time.Hour))
+	_, _, _, ended = rejections.Ended(at(time.Hour))
 	must.False(t, ended)
-	must.True(t, rejections.Refused(at(time.Hour), 3))
+	must.True(t, rejections.Record(at(time.Hour), 3))
 }
--- a/internal/proxy/homes_test.go
+++ b/internal/proxy/homes_test.go
@@ -139,7 +139,7 @@
 			must.Nil(t, ask(client, command.Write, "r1", "WRITE a 1"))
 			evacuated := fleet.group.Primary()
 			fleet.store.Put(managed.EvacuationKind, evacuated.Zone(), struct{}{})
-			fleet.promoter.SetLate(time.Minute)
+			fleet.promoter.SetOrderDelay(time.Minute)
 			for range 2 {
 				time.Sleep(400 * time.Millisecond)
 				must.Nil(t, ask(client, command.Read, "r1", "READ a"))
--- a/internal/proxy/leadership/outage.go
+++ b/internal/proxy/leadership/outage.go
@@ -15,16 +15,16 @@
 	outageWeight = 0.3
 )
 
-// Outage estimates how long a service is without a primary that answers, from the length of
+// OutageEstimator estimates how long a service is without a primary that answers, from the length of
 // earlier outages. It is safe for concurrent use.
-type Outage struct {
+type OutageEstimator struct {
 	mu    sync.Mutex
 	since time.Time
 	usual time.Duration
 }
 
-// Note records whether the service has a primary that answers.
-func (o *Outage) Note(now time.Time, available bool) {
+// Record records whether the service has a primary that answers.
+func (o *OutageEstimator) Record(now time.Time, available bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	switch {
@@ -40,9 +40,9 @@
 	}
 }
 
-// Left returns how long the present outage is expected to continue: the rest of the usual length,
+// ExpectedRest returns how long the present outage is expected to continue: the rest of the usual length,
 // and after that half of the time it has lasted.
-func (o *Outage) Left(now time.Time) time.Duration {
+func (o *OutageEstimator) ExpectedRest(now time.Time) time.Duration {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	usual := o.usual
@@ -62,8 +62,8 @@
 
 // Overdue reports whether the present outage has lasted longer than usual, and how long it is
 // expected to continue.
-func (o *Outage) Overdue(now time.Time) (left time.Duration, overdue bool) {
-	left = o.Left(now)
+func (o *OutageEstimator) Overdue(now time.Time) (left time.Duration, overdue bool) {
+	left = o.ExpectedRest(now)
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return left, !o.since.IsZero() && now.Sub(o.since) >= max(o.usual, initialEstimate)
--- a/internal/proxy/leadership/outage_test.go
+++ b/internal/proxy/leadership/outage_test.go
@@ -12,18 +12,18 @@
 func TestExpectedRestOfOutage(t *testing.T) {
 	start := time.Unix(1_000, 0)
 	at := func(offset time.Duration) time.Time { return start.Add(offset) }
-	var o Outage
-	o.Note(at(0), false)
-	must.Eq(t, initialEstimate, o.Left(at(0)))
-	must.Eq(t, initialEstimate-time.Second, o.Left(at(time.Second)))
-	must.Eq(t, 3*time.Second, o.Left(at(6*time.Second)))
-	o.Note(at(6*time.Second), true)
-	must.Eq(t, 6*time.Second/nearEndDivisor, o.Left(at(7*time.Second)))
+	var o OutageEstimator
+	o.Record(at(0), false)
+	must.Eq(t, initialEstimate, o.ExpectedRest(at(0)))
+	must.Eq(t, initialEstimate-time.Second, o.ExpectedRest(at(time.Second)))
+	must.Eq(t, 3*time.Second, o.ExpectedRest(at(6*time.Second)))
+	o.Record(at(6*time.Second), true)
+	must.Eq(t, 6*time.Second/nearEndDivisor, o.ExpectedRest(at(7*time.Second)))
 	for i := range 20 {
 		began := at(time.Duration(10+10*i) * time.Second)
-		o.Note(began, false)
-		o.Note(began.Add(time.Second), true)
+		o.Record(began, false)
+		o.Record(began.Add(time.Second), true)
 	}
-	o.Note(at(time.Hour), false)
-	must.Between(t, time.Second, o.Left(at(time.Hour)), 1100*time.Millisecond)
+	o.Record(at(time.Hour), false)
+	must.Between(t, time.Second, o.ExpectedRest(at(time.Hour)), 1100*time.Millisecond)
 }
--- a/internal/proxy/leadership/primary_view.go
+++ b/internal/proxy/leadership/primary_view.go
@@ -16,8 +16,8 @@
 // information.
 const denialTTL = 250 * time.Millisecond
 
-// Belief is a node's view of one service's primary. It is safe for concurrent use.
-type Belief struct {
+// PrimaryView is a node's view of one service's primary. It is safe for concurrent use.
+type PrimaryView struct {
 	mutex  sync.Mutex
 	leader string
 	term   uint64
@@ -27,35 +27,35 @@
 	changed           chan struct{}
 }
 
-// NewBelief returns a view without a primary.
-func NewBelief() *Belief {
-	return &Belief{deniedAt: map[string]time.Time{}, changed: make(chan struct{})}
+// NewPrimaryView returns a view without a primary.
+func NewPrimaryView() *PrimaryView {
+	return &PrimaryView{deniedAt: map[string]time.Time{}, changed: make(chan struct{})}
 }
 
 // Leader returns the primary in this node's view, or "" if none is known.
-func (b *Belief) Leader() string {
+func (b *PrimaryView) Leader() string {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.leader
 }
 
 // Term returns the term of the last confirmation.
-func (b *Belief) Term() uint64 {
+func (b *PrimaryView) Term() uint64 {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.term
 }
 
 // Changed returns a channel that is closed when the primary next changes.
-func (b *Belief) Changed() <-chan struct{} {
+func (b *PrimaryView) Changed() <-chan struct{} {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.changed
 }
 
-// Announce applies an announcement of the directory, at a revision, that a server is the primary.
+// ApplyAnnouncement applies an announcement of the directory, at a revision, that a server is the primary.
 // It reports whether the primary changed.
-func (b *Belief) Announce(id string, revision era.Revision) bool {
+func (b *PrimaryView) ApplyAnnouncement(id string, revision era.Revision) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	if revision <= b.announcedRevision {
@@ -68,7 +68,7 @@
 
 // Confirm records a server's own proof that it is the primary in a term. It reports whether the
 // primary changed.
-func (b *Belief) Confirm(id string, term uint64) bool {
+func (b *PrimaryView) Confirm(id string, term uint64) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	if term < b.term {
@@ -79,9 +79,9 @@
 	return b.set(id)
 }
 
-// Refute records a server's own statement that it is not the primary, and clears the primary if
+// RecordDenialAndClear records a server's own statement that it is not the primary, and clears the primary if
 // it was that server. It reports whether the primary changed.
-func (b *Belief) Refute(id string, now time.Time) bool {
+func (b *PrimaryView) RecordDenialAndClear(id string, now time.Time) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.deniedAt[id] = now
@@ -91,9 +91,9 @@
 	return b.set("")
 }
 
-// Deny records a server's own statement that it is not the primary, where the nodes agree on the
+// RecordDenial records a server's own statement that it is not the primary, where the nodes agree on the
 // primary: the view does not change. It reports whether the statement is new.
-func (b *Belief) Deny(id string, now time.Time) bool {
+func (b *PrimaryView) RecordDenial(id string, now time.Time) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	at, found := b.deniedAt[id]
@@ -101,24 +101,24 @@
 	return !found || now.Sub(at) >= denialTTL
 }
 
-// Follow sets the primary on which the nodes agree, or "" if there is none at the moment. It
+// SetAgreed sets the primary on which the nodes agree, or "" if there is none at the moment. It
 // reports whether the primary changed.
-func (b *Belief) Follow(id string) bool {
+func (b *PrimaryView) SetAgreed(id string) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	delete(b.deniedAt, id)
 	return b.set(id)
 }
 
-// Refuted reports whether a server has recently denied being the primary.
-func (b *Belief) Refuted(id string, now time.Time) bool {
+// RecentlyDenied reports whether a server has recently denied being the primary.
+func (b *PrimaryView) RecentlyDenied(id string, now time.Time) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	at, found := b.deniedAt[id]
 	return found && now.Sub(at) < denialTTL
 }
 
-func (b *Belief) set(id string) bool {
+func (b *PrimaryView) set(id string) bool {
 	if b.leader == id {
 		return false
 	}
--- a/internal/proxy/told/loadreport.go
+++ b/internal/proxy/loadreport/loadreport.go
@@ -1,10 +1,10 @@
-// Package told keeps load reports of servers. The node that owns a server's connections adds a
+// Package loadreport keeps load reports of servers. The node that owns a server's connections adds a
 // Report to each answer. Nodes that use the server through the owner keep the newest report in a
 // View. They use it to reject work or send it elsewhere before they ask the owner.
 //
 // A report is only a hint and it expires. Without a recent one a node rejects nothing: the owner
 // makes the final decision. The package reads no clock and does no I/O.
-package told
+package loadreport
 
 import (
 	"sync"
@@ -18,12 +18,12 @@
 	// Sequence rises with each report of an incarnation of the owner's process. Life identifies the
 	// incarnation. A link leads to one incarnation, so the receiving node sets Life and it is not
 	// sent.
-	Life     uint64 `msgpack:"-"`
-	Sequence uint64
+	Incarnation uint64 `msgpack:"-"`
+	Sequence    uint64
 	// Waits is the expected wait of new work at each level in milliseconds, for work that other
 	// servers could run, too. Kept is the same for work that only this server can run.
-	Waits [urgency.Levels]uint16
-	Kept  [urgency.Levels]uint16
+	Waits         [urgency.Levels]uint16
+	WaitsOnlyHere [urgency.Levels]uint16
 	// Running counts the work that has a slot, Waiting the work that waits for one. Limit is how
 	// many requests the owner runs at a time.
 	Running uint16
@@ -32,18 +32,18 @@
 	// Behind is how far behind the primary the server was, at least, when it last reported its
 	// position, in milliseconds; 0 if nothing recent shows a lag.
 	Behind uint16
-	// Held is how long the owner had had the request when it made the report, in milliseconds. The
+	// OwnerDelay is how long the owner had had the request when it made the report, in milliseconds. The
 	// report is younger than the request by this time.
-	Held uint16
+	OwnerDelay uint16
 }
 
 const (
 	// maxWait is the longest wait in a report.
 	maxWait = 60 * time.Second
-	// Life is the age at which a report expires. By then the work that it counts has ended or been
+	// MaxAge is the age at which a report expires. By then the work that it counts has ended or been
 	// rejected: new work waits for a slot for at most a fifth of its objective, which is 100 to 400
 	// ms for usual objectives of 0.5 to 2 s.
-	Life = 400 * time.Millisecond
+	MaxAge = 400 * time.Millisecond
 )
 
 // Milliseconds converts a wait for a report. A wait below a millisecond becomes 0.
@@ -67,8 +67,8 @@
 func (v *View) Observe(sent time.Time, report *Report) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	at := sent.Add(time.Duration(report.Held) * time.Millisecond)
-	if v.hasReport && (v.report.Life == report.Life && v.report.Sequence >= report.Sequence || v.report.Life != report.Life && at.Before(v.at)) {
+	at := sent.Add(time.Duration(report.OwnerDelay) * time.Millisecond)
+	if v.hasReport && (v.report.Incarnation == report.Incarnation && v.report.Sequence >= report.Sequence || v.report.Incarnation != report.Incarnation && at.Before(v.at)) {
 		return
 	}
 	v.report, v.at, v.hasReport = *report, at, true
@@ -84,13 +84,13 @@
 // WaitOnlyHere is the same for work that no other server can run.
 func (v *View) WaitOnlyHere(now time.Time, level urgency.Level) (time.Duration, bool) {
 	report, age, ok := v.Newest(now)
-	return decayed(report.Kept[min(level, urgency.Least)], age), ok
+	return decayed(report.WaitsOnlyHere[min(level, urgency.Least)], age), ok
 }
 
 // decayed returns a reported wait reduced for its age.
 func decayed(milliseconds uint16, age time.Duration) time.Duration {
 	wait := time.Duration(milliseconds) * time.Millisecond
-	return time.Duration(float64(wait) * (1 - float64(age)/float64(Life)))
+	return time.Duration(float64(wait) * (1 - float64(age)/float64(MaxAge)))
 }
 
 // Newest returns the newest report and its age. It returns false if there is none or it has
@@ -99,7 +99,7 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	age := now.Sub(v.at)
-	if !v.hasReport || age < 0 || age >= Life {
+	if !v.hasReport || age < 0 || age >= MaxAge {
 		return Report{}, 0, false
 	}
 	return v.report, age, true
--- a/internal/proxy/told/loadreport_test.go
+++ b/internal/proxy/loadreport/loadreport_test.go
@@ -1,4 +1,4 @@
-package told
+package loadreport
 
 import (
 	"testing"
@@ -23,9 +23,9 @@
 	v := &View{}
 	_, ok := v.Wait(start, 0)
 	must.False(t, ok)
-	v.Observe(start, &Report{Life: 1, Sequence: 1, Waits: waits(100), Kept: waits(40)})
+	v.Observe(start, &Report{Incarnation: 1, Sequence: 1, Waits: waits(100), WaitsOnlyHere: waits(40)})
 	for _, at := range []struct{ age, wait, kept time.Duration }{
-		{0, 100, 40}, {Life / 4, 75, 30}, {Life / 2, 50, 20}, {3 * Life / 4, 25, 10},
+		{0, 100, 40}, {MaxAge / 4, 75, 30}, {MaxAge / 2, 50, 20}, {3 * MaxAge / 4, 25, 10},
 	} {
 		wait, ok := v.Wait(start.Add(at.age), 1)
 		must.True(t, ok)
@@ -33,7 +33,7 @@
 		kept, _ := v.WaitOnlyHere(start.Add(at.age), 1)
 		must.Eq(t, at.kept*time.Millisecond, kept)
 	}
-	_, ok = v.Wait(start.Add(Life), 1)
+	_, ok = v.Wait(start.Add(MaxAge), 1)
 	must.False(t, ok)
 	_, ok = v.Wait(start.Add(-time.Millisecond), 1)
 	must.False(t, ok)
@@ -51,14 +51,14 @@
 		must.True(t, ok)
 		must.Eq(t, milliseconds, time.Duration(report.Waits[0]))
 	}
-	v.Observe(start, &Report{Life: 1, Sequence: 5, Waits: waits(50)})
-	v.Observe(later, &Report{Life: 1, Sequence: 4, Waits: waits(40)})
+	v.Observe(start, &Report{Incarnation: 1, Sequence: 5, Waits: waits(50)})
+	v.Observe(later, &Report{Incarnation: 1, Sequence: 4, Waits: waits(40)})
 	expect(50)
-	v.Observe(start.Add(-time.Millisecond), &Report{Life: 2, Sequence: 9, Waits: waits(90)})
+	v.Observe(start.Add(-time.Millisecond), &Report{Incarnation: 2, Sequence: 9, Waits: waits(90)})
 	expect(50)
-	v.Observe(later, &Report{Life: 2, Sequence: 1, Waits: waits(10)})
+	v.Observe(later, &Report{Incarnation: 2, Sequence: 1, Waits: waits(10)})
 	expect(10)
-	v.Observe(start, &Report{Life: 1, Sequence: 6, Waits: waits(60)})
+	v.Observe(start, &Report{Incarnation: 1, Sequence: 6, Waits: waits(60)})
 	expect(10)
 }
 
@@ -70,7 +70,7 @@
 			Limit: rapid.Uint16().Draw(t, "limit"), Behind: rapid.Uint16().Draw(t, "behind"),
 		}
 		for i := range sent.Waits {
-			sent.Waits[i], sent.Kept[i] = rapid.Uint16().Draw(t, "wait"), rapid.Uint16().Draw(t, "kept")
+			sent.Waits[i], sent.WaitsOnlyHere[i] = rapid.Uint16().Draw(t, "wait"), rapid.Uint16().Draw(t, "kept")
 		}
 		frame, err := codec.Append(nil, &sent)
 		must.NoError(t, err)
--- a/internal/proxy/members_test.go
+++ b/internal/proxy/members_test.go
@@ -37,7 +37,7 @@
 		}
 		time.Sleep(4 * time.Second)
 		for name, node := range fleet.nodes {
-			must.Eq(t, nodes-1, node.KnownMembers(), must.Sprint(name))
+			must.Eq(t, nodes-1, node.KnownMemberCount(), must.Sprint(name))
 			must.True(t, node.Ready(), must.Sprint(name))
 		}
 		must.Less(t, few, fleet.answered.Load()-before)
--- a/internal/proxy/metrics.go
+++ b/internal/proxy/metrics.go
@@ -87,7 +87,7 @@
 			func() float64 { return float64(node.Owner.Active()) }),
 		gauge("log_lines_dropped", "Log lines dropped since the start.",
 			func() float64 { return float64(node.log.Dropped()) }),
-		gauge("known_members", "Other nodes known.", func() float64 { return float64(node.KnownMembers()) }),
+		gauge("known_members", "Other nodes known.", func() float64 { return float64(node.KnownMemberCount()) }),
 		gauge("degraded", "1 while other nodes, servers and the store are all silent for this node.",
 			func() float64 {
 				if node.Degraded.Load() {
--- a/internal/proxy/mutation_test.go
+++ b/internal/proxy/mutation_test.go
@@ -61,7 +61,7 @@
 	for i := range changed {
 		switch {
 		case c.broken == minimumsIgnored:
-			changed[i].Floor = position.Position{}
+			changed[i].MinimumPosition = position.Position{}
 		case c.broken == primaryNotProved && changed[i].Kind == upstream.Begin:
 			changed[i].Kind = upstream.BeginReadOnly
 		case c.broken == valuesNotSet && changed[i].Kind == upstream.SetValue:
--- a/internal/proxy/network/ask.go
+++ b/internal/proxy/network/ask.go
@@ -20,13 +20,13 @@
 
 // AskMembers sends a request to several nodes in parallel and returns the answers that arrived
 // before ctx ended.
-func (n *Network) AskMembers(ctx context.Context, members []Member, request relay.Question) []MemberAnswer {
+func (n *Network) AskMembers(ctx context.Context, members []Member, request relay.Request) []MemberAnswer {
 	return n.collectAnswers(ctx, members, request, 0)
 }
 
 // collectAnswers implements AskMembers. With a positive grace it returns at the latest that long
 // after the first answer that did not fail.
-func (n *Network) collectAnswers(ctx context.Context, members []Member, request relay.Question, grace time.Duration) []MemberAnswer {
+func (n *Network) collectAnswers(ctx context.Context, members []Member, request relay.Request, grace time.Duration) []MemberAnswer {
 	limited, cancel := context.WithCancel(ctx)
 	defer cancel()
 	results := make(chan *MemberAnswer, len(members))
@@ -54,9 +54,9 @@
 	return answers
 }
 
-// AskToDemote asks another node to demote a primary. It returns nil if the server was not demoted.
-func (n *Network) AskToDemote(ctx context.Context, member *Member, server string) *upstream.Status {
-	answer := n.askMember(ctx, member, relay.Question{Server: server, StepDown: true})
+// RequestDemotion asks another node to demote a primary. It returns nil if the server was not demoted.
+func (n *Network) RequestDemotion(ctx context.Context, member *Member, server string) *upstream.Status {
+	answer := n.askMember(ctx, member, relay.Request{Server: server, StepDown: true})
 	if answer == nil || !answer.Reached {
 		return nil
 	}
@@ -65,7 +65,7 @@
 
 // askMember sends a request to one node and returns nil if there is no answer. A canceled request
 // says nothing about the node, so it is neither recorded nor logged.
-func (n *Network) askMember(ctx context.Context, member *Member, request relay.Question) *MemberAnswer {
+func (n *Network) askMember(ctx context.Context, member *Member, request relay.Request) *MemberAnswer {
 	began := time.Now()
 	answer, err := n.ports.Peers.Ask(ctx, member.Address, request)
 	if errors.Is(ctx.Err(), context.Canceled) {
--- a/internal/proxy/network/follow.go
+++ b/internal/proxy/network/follow.go
@@ -34,12 +34,12 @@
 			onAnswer = n.recordConfigurationAnswer
 		}
 		go objectstore.Follow(ctx, objectstore.FollowConfig{
-			Store: n.ports.Store, Others: &peerSource{n}, Readers: &storeReaders{node: n, bound: bound, timeout: MemberAnswerLimit},
-			Kind: kind, Wait: func() time.Duration { return n.watchWait(bound) }, Sink: n.caches[kind], Heard: onAnswer,
+			Store: n.ports.Store, Peers: &peerSource{n}, Readers: &storeReaders{node: n, bound: bound, timeout: MemberAnswerTimeout},
+			Kind: kind, Wait: func() time.Duration { return n.watchWait(bound) }, Sink: n.caches[kind], OnAnswer: onAnswer,
 		})
 	}
 	go n.maintainMembership(ctx)
-	go n.delegate.ReadLeases(ctx)
+	go n.delegate.LoadLeases(ctx)
 }
 
 // evacuationSink applies the list of evacuated zones.
@@ -78,7 +78,7 @@
 		}
 		time.AfterFunc(remaining, s.applyZones)
 	}
-	if s.Catalog.Evacuate(zones, time.Now()) {
+	if s.Catalog.SetEvacuatedZones(zones, time.Now()) {
 		s.Log.Write(eventlog.ZonesEvacuated, zap.Strings("zones", zones))
 	}
 }
--- a/internal/proxy/network/listings.go
+++ b/internal/proxy/network/listings.go
@@ -142,7 +142,7 @@
 		objects, err = n.listStale(ctx, kind, timeout)
 		return objects, true, err
 	}
-	request := relay.Question{Kind: kind, MaxAge: maxListingAge, After: knownChecksum}
+	request := relay.Request{Kind: kind, MaxAge: maxListingAge, After: knownChecksum}
 	for i := range min(maxListingReaders, len(readers)) {
 		answer, err := n.askPeer(ctx, readers[i].Address, request, listingAnswerTimeout)
 		if err != nil || answer.Failed {
@@ -163,7 +163,7 @@
 func (n *Network) fleetSize() int {
 	n.received.mu.Lock()
 	defer n.received.mu.Unlock()
-	return max(n.KnownMembers()+1, n.received.nodes)
+	return max(n.KnownMemberCount()+1, n.received.nodes)
 }
 
 // listStale lists a kind at the store.
@@ -259,7 +259,7 @@
 
 // answerListing answers a request for a listing whose age is limited by MaxAge. It lists at the
 // store if the cached listing is older.
-func (n *Network) answerListing(ctx context.Context, request *relay.Question) relay.Answer {
+func (n *Network) answerListing(ctx context.Context, request *relay.Request) relay.Answer {
 	cached := n.listingCache.of(request.Kind)
 	select {
 	case cached.lock <- struct{}{}:
@@ -269,7 +269,7 @@
 	}
 	if time.Since(cached.listedAt) > request.MaxAge {
 		began := time.Now()
-		objects, err := n.listStale(ctx, request.Kind, StoreCallLimit)
+		objects, err := n.listStale(ctx, request.Kind, StoreCallTimeout)
 		if err != nil {
 			return relay.Answer{Failed: true, Outcome: objectstore.OutcomeOf(err)}
 		}
@@ -302,7 +302,7 @@
 	if len(readers) == 0 || readers[0].Name != n.options.Name {
 		return
 	}
-	limited, cancel := context.WithTimeout(ctx, StoreCallLimit)
+	limited, cancel := context.WithTimeout(ctx, StoreCallTimeout)
 	defer cancel()
 	kind := n.options.Kinds.Readers
 	nodes := (len(*set.members)/nodeCountStep + 1) * nodeCountStep
--- a/internal/proxy/network/listings_test.go
+++ b/internal/proxy/network/listings_test.go
@@ -49,7 +49,7 @@
 		checksums := make([]era.Revision, 200)
 		for i := range checksums {
 			clients.Go(func() {
-				answer := n.Answer(t.Context(), relay.Question{Kind: "members", MaxAge: maxListingAge})
+				answer := n.Answer(t.Context(), relay.Request{Kind: "members", MaxAge: maxListingAge})
 				if !answer.Failed && len(answer.Objects) == 2 {
 					checksums[i] = answer.Revision
 				}
@@ -61,12 +61,12 @@
 			must.Positive(t, uint64(sum))
 			must.Eq(t, checksums[0], sum)
 		}
-		known := n.Answer(t.Context(), relay.Question{Kind: "members", MaxAge: maxListingAge, After: checksums[0]})
+		known := n.Answer(t.Context(), relay.Request{Kind: "members", MaxAge: maxListingAge, After: checksums[0]})
 		must.SliceEmpty(t, known.Objects)
 		must.Eq(t, checksums[0], known.Revision)
 		time.Sleep(maxListingAge)
 		store.objects = append(store.objects, objectstore.Object{Name: "n3", Revision: 5})
-		changed := n.Answer(t.Context(), relay.Question{Kind: "members", MaxAge: maxListingAge, After: checksums[0]})
+		changed := n.Answer(t.Context(), relay.Request{Kind: "members", MaxAge: maxListingAge, After: checksums[0]})
 		must.Len(t, 3, changed.Objects)
 		must.Eq(t, 2, store.lists)
 	})
--- a/internal/proxy/network/members.go
+++ b/internal/proxy/network/members.go
@@ -18,10 +18,10 @@
 	Name    string `json:"-"`
 	Address string `json:"address"`
 	Zone    string `json:"zone,omitempty"`
-	// Messages is the address for messages of the tenure protocol.
-	Messages string `json:"messages,omitempty"`
-	// Tokens is the address for messages about tenants' tokens.
-	Tokens string `json:"tokens,omitempty"`
+	// MessageAddress is the address for messages of the tenure protocol.
+	MessageAddress string `json:"messages,omitempty"`
+	// TokenAddress is the address for messages about tenants' tokens.
+	TokenAddress string `json:"tokens,omitempty"`
 	// Revision is the revision of the entry.
 	Revision era.Revision `json:"-"`
 	// Capacity is what the node may use. Nodes of earlier versions don't report it.
@@ -30,7 +30,7 @@
 
 // Peers sends requests to other nodes.
 type Peers interface {
-	Ask(ctx context.Context, address string, request relay.Question) (relay.Answer, error)
+	Ask(ctx context.Context, address string, request relay.Request) (relay.Answer, error)
 	// Link opens a connection on which the other node serves operations.
 	Link(ctx context.Context, address string) (net.Conn, error)
 }
@@ -46,8 +46,8 @@
 	// written their entries, and the list, which may be a second old, includes them.
 	firstStartPollDelay  = 2200 * time.Millisecond
 	firstStartPollSpread = 600 * time.Millisecond
-	// MemberLook is the mean interval between polls of the members.
-	MemberLook = 40 * time.Second
+	// MembersPollInterval is the mean interval between polls of the members.
+	MembersPollInterval = 40 * time.Second
 	// settleTimeout bounds the wait, from a node's start, for a list of members that is likely
 	// complete. firstStartSettleTimeout applies to the first start of a fleet, where the first
 	// list is incomplete: nodes that rely on it choose wrong readers, so the second one is
@@ -75,11 +75,11 @@
 		n.waitJittered(ctx, membersRetryDelay)
 	}
 	n.waitJittered(ctx, leasesPollDelay)
-	n.delegate.LookAtLeases(ctx)
+	n.delegate.PollLeases(ctx)
 	var watched neighbor
 	n.publishReaders(ctx)
 	for ctx.Err() == nil {
-		n.waitJittered(ctx, MemberLook)
+		n.waitJittered(ctx, MembersPollInterval)
 		if n.pollMembers(ctx) {
 			n.publishReaders(ctx)
 			n.checkNeighbor(ctx, &watched)
@@ -103,12 +103,12 @@
 		return false
 	}
 	n.markMembersSettled()
-	if !n.delegate.TakeShare(false, time.Now()) {
+	if !n.delegate.AssignQuotaShare(false, time.Now()) {
 		return false
 	}
 	// Leases are created for the configuration's services, so wait for the configuration.
-	n.delegate.AwaitInformed()
-	return n.delegate.MakeLeases(ctx)
+	n.delegate.AwaitCatalogLoaded()
+	return n.delegate.CreateLeases(ctx)
 }
 
 // waitJittered waits between 0.5 and 1.5 times the mean, so that the calls of many nodes are
@@ -160,13 +160,13 @@
 func (n *Network) OwnMember() Member {
 	return Member{
 		Name: n.options.Name, Address: n.options.PeerAddress, Zone: n.options.Zone,
-		Messages: n.options.MessageAddress, Tokens: n.options.TokenAddress, Capacity: n.options.Capacity,
+		MessageAddress: n.options.MessageAddress, TokenAddress: n.options.TokenAddress, Capacity: n.options.Capacity,
 	}
 }
 
 // pollMembers lists the members and writes this node's entry if it is missing or outdated.
 func (n *Network) pollMembers(ctx context.Context) bool {
-	own, err := n.ListMembers(ctx, StoreCallLimit)
+	own, err := n.ListMembers(ctx, StoreCallTimeout)
 	return err == nil && n.ensureOwnEntry(ctx, own)
 }
 
@@ -176,14 +176,14 @@
 		return true
 	}
 	entry := Member{Name: n.options.Name}
-	if own == nil && time.Since(n.ownEntryWrittenAt) < MemberLook {
+	if own == nil && time.Since(n.ownEntryWrittenAt) < MembersPollInterval {
 		// The list may be older than the entry.
 		return true
 	}
 	if own != nil && json.Unmarshal(own.Content, &entry) == nil && entry == n.OwnMember() {
 		return true
 	}
-	limited, cancel := context.WithTimeout(ctx, StoreCallLimit)
+	limited, cancel := context.WithTimeout(ctx, StoreCallTimeout)
 	defer cancel()
 	if !n.writeOwnEntry(limited, own) {
 		return false
@@ -252,7 +252,7 @@
 	if n.Members.Load() != nil || n.ports.Peers == nil {
 		return true
 	}
-	remaining := time.Until(n.Started.Add(MembersPatience))
+	remaining := time.Until(n.Started.Add(MembersTimeout))
 	timer := time.NewTimer(min(time.Until(deadline), remaining))
 	defer timer.Stop()
 	select {
@@ -263,8 +263,8 @@
 	}
 }
 
-// MembersPatience bounds, from a node's start, the wait for a list of members.
-const MembersPatience = 10 * time.Second
+// MembersTimeout bounds, from a node's start, the wait for a list of members.
+const MembersTimeout = 10 * time.Second
 
 // writeOwnEntry writes this node's entry, replacing an old one unless that is nil.
 func (n *Network) writeOwnEntry(ctx context.Context, old *objectstore.Object) bool {
@@ -280,16 +280,16 @@
 	return err == nil
 }
 
-// KnownMembers returns the number of other nodes that this node knows.
-func (n *Network) KnownMembers() int {
+// KnownMemberCount returns the number of other nodes that this node knows.
+func (n *Network) KnownMemberCount() int {
 	if members := n.Members.Load(); members != nil {
 		return len(*members)
 	}
 	return 0
 }
 
-// SomeMembers returns up to count other nodes in random order.
-func (n *Network) SomeMembers(count int) []Member {
+// RandomMembers returns up to count other nodes in random order.
+func (n *Network) RandomMembers(count int) []Member {
 	members := n.Members.Load()
 	if members == nil || n.ports.Peers == nil {
 		return nil
--- a/internal/proxy/network/network.go
+++ b/internal/proxy/network/network.go
@@ -20,25 +20,25 @@
 	"dewknot/internal/proxy/upstream"
 )
 
-// Duties is implemented by the rest of the node. It is notified of changes, and it answers the
+// Delegate is implemented by the rest of the node. It is notified of changes, and it answers the
 // requests of other nodes that concern servers.
-type Duties interface {
+type Delegate interface {
 	// MembersChanged is called when the list of members has changed.
 	MembersChanged()
-	// TakeShare assigns the node its share of the quotas, once. The parameter listed says whether
+	// AssignQuotaShare assigns the node its share of the quotas, once. The parameter listed says whether
 	// the node was among the members before it started. It reports whether the node has a share.
-	TakeShare(listed bool, now time.Time) bool
-	// ReadLeases loads, at the start, the leases that an earlier incarnation of the node holds.
-	ReadLeases(ctx context.Context)
-	// MakeLeases creates missing leases and reports whether that succeeded.
-	MakeLeases(ctx context.Context) bool
-	// LookAtLeases lists the leases again.
-	LookAtLeases(ctx context.Context)
+	AssignQuotaShare(listed bool, now time.Time) bool
+	// LoadLeases loads, at the start, the leases that an earlier incarnation of the node holds.
+	LoadLeases(ctx context.Context)
+	// CreateLeases creates missing leases and reports whether that succeeded.
+	CreateLeases(ctx context.Context) bool
+	// PollLeases lists the leases again.
+	PollLeases(ctx context.Context)
 	// StoreRestored is called after the store was restored from an older copy. Recent writes,
 	// including leases, may be lost.
 	StoreRestored()
-	// AwaitInformed waits a short time until a configuration and a directory are known.
-	AwaitInformed()
+	// AwaitCatalogLoaded waits a short time until a configuration and a directory are known.
+	AwaitCatalogLoaded()
 	// Reaches reports whether this node reaches a server directly.
 	Reaches(server string) bool
 	// Demote ends a server's primary role. It returns nil if that failed or if nodes do not agree
@@ -111,13 +111,13 @@
 type Network struct {
 	options  Options
 	ports    Ports
-	delegate Duties
+	delegate Delegate
 	Log      *eventlog.Log
 	Catalog  *catalog.Catalog
 	Started  time.Time
 
 	// store rejects answers of eras before the latest known one.
-	store *objectstore.Guarded
+	store *objectstore.EraGuard
 	// restoredAt is when the store was last seen to be restored from an older copy, in
 	// nanoseconds since the node's start; 0 if never.
 	restoredAt atomic.Int64
@@ -172,7 +172,7 @@
 }
 
 // New returns a Network that knows nothing yet.
-func New(options Options, ports Ports, delegate Duties, cat *catalog.Catalog, started time.Time, log *eventlog.Log) *Network {
+func New(options Options, ports Ports, delegate Delegate, cat *catalog.Catalog, started time.Time, log *eventlog.Log) *Network {
 	n := &Network{
 		options: options, ports: ports, delegate: delegate, Log: log, Catalog: cat, Started: started,
 		readersLookupDone: make(chan struct{}), membersKnown: make(chan struct{}), membersSettled: make(chan struct{}),
@@ -182,7 +182,7 @@
 	}
 	n.ports.Traffic.Locate(n.distanceTo)
 	n.reachability = newReachability(started)
-	n.store = objectstore.NewGuarded(&meteredStore{Store: ports.Store, node: n}, n.storeRestored)
+	n.store = objectstore.NewEraGuard(&meteredStore{Store: ports.Store, node: n}, n.storeRestored)
 	n.ports.Store = n.store
 	n.transfers = newTransfers(n)
 	n.caches = map[string]*objectstore.Cache{
@@ -203,5 +203,5 @@
 // StoreEra returns the latest known era of the store.
 func (n *Network) StoreEra() uint64 { return n.store.Era() }
 
-// StoreCallLimit is the timeout of a call to the store.
-const StoreCallLimit = 1500 * time.Millisecond
+// StoreCallTimeout is the timeout of a call to the store.
+const StoreCallTimeout = 1500 * time.Millisecond
--- a/internal/proxy/network/network_test.go
+++ b/internal/proxy/network/network_test.go
@@ -11,7 +11,7 @@
 )
 
 // stubDelegate ignores changes of the members and implements nothing else.
-type stubDelegate struct{ Duties }
+type stubDelegate struct{ Delegate }
 
 func (stubDelegate) MembersChanged() {}
 
--- a/internal/proxy/network/newer_configuration.go
+++ b/internal/proxy/network/newer_configuration.go
@@ -31,9 +31,9 @@
 	running chan struct{}
 }
 
-// SeekNewer searches other nodes for a newer configuration and waits until it is in force here. It
+// FetchNewerConfiguration searches other nodes for a newer configuration and waits until it is in force here. It
 // does nothing if this node's configuration is recent.
-func (n *Network) SeekNewer(now time.Time) {
+func (n *Network) FetchNewerConfiguration(now time.Time) {
 	if n.caches[n.options.Kinds.Configuration].Age() < maxRecentAge || n.ports.Peers == nil {
 		return
 	}
@@ -84,10 +84,10 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), newerSearchTimeout)
 	defer cancel()
-	n.AwaitMembers(time.Now().Add(MemberAnswerLimit))
+	n.AwaitMembers(time.Now().Add(MemberAnswerTimeout))
 	kind := n.options.Kinds.Configuration
 	newest := MemberAnswer{Answer: relay.Answer{Version: known.Version}}
-	for _, answer := range n.collectAnswers(ctx, n.sources(), relay.Question{Kind: kind, RevisionOnly: true}, answerGrace) {
+	for _, answer := range n.collectAnswers(ctx, n.sources(), relay.Request{Kind: kind, RevisionOnly: true}, answerGrace) {
 		if answer.Version > newest.Version {
 			newest = answer
 		}
@@ -95,7 +95,7 @@
 	if newest.From == "" {
 		return
 	}
-	answer, err := n.askObjects(ctx, newest.From, relay.Question{Kind: kind}, MemberAnswerLimit)
+	answer, err := n.askObjects(ctx, newest.From, relay.Request{Kind: kind}, MemberAnswerTimeout)
 	if err != nil || answer.Failed {
 		n.Log.Write(eventlog.TransferInterrupted, zap.String("kind", kind), zap.Uint64("version", newest.Version), zap.String("peer", newest.From), zap.Error(err))
 		return
@@ -109,8 +109,8 @@
 	n.configurationCheckedAt.Store(int64(began.Sub(n.Started)))
 }
 
-// KeysUncertain reports whether, with strict revocation, the configuration has not been confirmed
+// KeysOutdated reports whether, with strict revocation, the configuration has not been confirmed
 // for so long that no key may be accepted.
-func (n *Network) KeysUncertain(now time.Time) bool {
+func (n *Network) KeysOutdated(now time.Time) bool {
 	return n.options.StrictRevocation && now.Sub(n.Started)-time.Duration(n.configurationCheckedAt.Load()) > n.options.RevocationBound
 }
--- a/internal/proxy/network/prune.go
+++ b/internal/proxy/network/prune.go
@@ -34,9 +34,9 @@
 	if next.Name != watched.name {
 		*watched = neighbor{name: next.Name}
 	}
-	limited, cancel := context.WithTimeout(ctx, MemberAnswerLimit)
+	limited, cancel := context.WithTimeout(ctx, MemberAnswerTimeout)
 	defer cancel()
-	if _, err := n.ports.Peers.Ask(limited, next.Address, relay.Question{}); err == nil {
+	if _, err := n.ports.Peers.Ask(limited, next.Address, relay.Request{}); err == nil {
 		watched.silentPolls = 0
 		return
 	}
@@ -44,7 +44,7 @@
 	if watched.silentPolls < pruneAfterPolls {
 		return
 	}
-	limited, cancel = context.WithTimeout(ctx, StoreCallLimit)
+	limited, cancel = context.WithTimeout(ctx, StoreCallTimeout)
 	defer cancel()
 	_, err := n.ports.Store.Delete(limited, n.options.Kinds.Members, next.Name, next.Revision)
 	n.Log.Write(eventlog.MemberRemoved, zap.String("member", next.Name), zap.Int("silent", watched.silentPolls), zap.Error(err))
--- a/internal/proxy/network/reachability.go
+++ b/internal/proxy/network/reachability.go
@@ -64,27 +64,27 @@
 	r.lastStoreFailure = now
 }
 
-// ServerSigns summarizes the recent answers of database servers.
-type ServerSigns struct {
-	// Silent is the number of servers with an overdue answer.
-	Silent int
-	// Heard is when any server last answered.
-	Heard time.Time
+// ServerAnswers summarizes the recent answers of database servers.
+type ServerAnswers struct {
+	// Overdue is the number of servers with an overdue answer.
+	Overdue int
+	// LastAnswer is when any server last answered.
+	LastAnswer time.Time
 }
 
 // evaluate decides whether the node is degraded. The parameter peers is the number of other known
 // nodes. The result probe is set if the caller should probe the store, because everything else is
 // silent and no call to the store has failed since.
-func (r *reachability) evaluate(now time.Time, peers int, servers ServerSigns) (degraded, changed, probe bool) {
+func (r *reachability) evaluate(now time.Time, peers int, servers ServerAnswers) (degraded, changed, probe bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	previous := r.degraded
 	if r.degraded {
-		r.degraded = !r.lastPeerAnswer.After(r.degradedSince) && !r.lastStoreAnswer.After(r.degradedSince) && !servers.Heard.After(r.degradedSince)
+		r.degraded = !r.lastPeerAnswer.After(r.degradedSince) && !r.lastStoreAnswer.After(r.degradedSince) && !servers.LastAnswer.After(r.degradedSince)
 	} else {
 		cutoff := now.Add(-degradedAfter)
 		allSilent := peers > 0 && len(r.silentPeers) >= min(degradedPeers, peers) && r.lastPeerAnswer.Before(cutoff) &&
-			servers.Silent > 0 && servers.Heard.Before(cutoff) && r.lastStoreAnswer.Before(cutoff)
+			servers.Overdue > 0 && servers.LastAnswer.Before(cutoff) && r.lastStoreAnswer.Before(cutoff)
 		if allSilent && r.lastStoreFailure.After(r.lastStoreAnswer) && r.lastStoreFailure.After(r.lastPeerAnswer) {
 			r.degraded, r.degradedSince = true, now
 		} else if allSilent && now.Sub(r.lastStoreProbe) > storeProbeInterval {
@@ -102,9 +102,9 @@
 	n.silentMembers.record(address, err != nil)
 }
 
-// Distrusts decides whether this node considers itself degraded, and whether that has changed.
-func (n *Network) Distrusts(now time.Time, signs ServerSigns) (degraded, changed bool) {
-	degraded, changed, probe := n.reachability.evaluate(now, n.KnownMembers(), signs)
+// EvaluateDegraded decides whether this node considers itself degraded, and whether that has changed.
+func (n *Network) EvaluateDegraded(now time.Time, signs ServerAnswers) (degraded, changed bool) {
+	degraded, changed, probe := n.reachability.evaluate(now, n.KnownMemberCount(), signs)
 	if probe {
 		go n.probeStore()
 	}
@@ -114,8 +114,8 @@
 // StoreLost reports whether the watch of the configuration gets no answer from the store.
 func (n *Network) StoreLost() bool { return n.storeDown.Load() }
 
-// SilentLately reports whether the node at an address recently failed to answer.
-func (n *Network) SilentLately(address string, now time.Time) bool {
+// RecentlySilent reports whether the node at an address recently failed to answer.
+func (n *Network) RecentlySilent(address string, now time.Time) bool {
 	return n.silentMembers.recentlySilent(address, now)
 }
 
--- a/internal/proxy/network/reachability_test.go
+++ b/internal/proxy/network/reachability_test.go
@@ -19,11 +19,11 @@
 		}
 	}
 	const late = 2 * time.Second
-	silent := ServerSigns{Silent: 1, Heard: start}
+	silent := ServerAnswers{Overdue: 1, LastAnswer: start}
 	for _, c := range []struct {
 		name     string
 		prepare  func(r *reachability)
-		servers  ServerSigns
+		servers  ServerAnswers
 		degraded bool
 		probe    bool
 	}{
@@ -36,8 +36,8 @@
 		}, silent, false, false},
 		{"the store answers", func(r *reachability) { silentPeers(r, degradedPeers); r.recordStore(true, at(time.Second)) }, silent, false, false},
 		{"the store was not asked", func(r *reachability) { silentPeers(r, degradedPeers) }, silent, false, true},
-		{"no server has an overdue answer", func(r *reachability) { silentPeers(r, degradedPeers); r.recordStore(false, at(time.Second)) }, ServerSigns{Heard: start}, false, false},
-		{"a server answers", func(r *reachability) { silentPeers(r, degradedPeers); r.recordStore(false, at(time.Second)) }, ServerSigns{Silent: 1, Heard: at(time.Second)}, false, false},
+		{"no server has an overdue answer", func(r *reachability) { silentPeers(r, degradedPeers); r.recordStore(false, at(time.Second)) }, ServerAnswers{LastAnswer: start}, false, false},
+		{"a server answers", func(r *reachability) { silentPeers(r, degradedPeers); r.recordStore(false, at(time.Second)) }, ServerAnswers{Overdue: 1, LastAnswer: at(time.Second)}, false, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newReachability(start)
@@ -48,10 +48,10 @@
 			must.Eq(t, c.probe, probe)
 		})
 	}
-	for name, sign := range map[string]func(r *reachability) ServerSigns{
-		"node":   func(r *reachability) ServerSigns { r.recordPeer("x", true, at(3*time.Second)); return silent },
-		"store":  func(r *reachability) ServerSigns { r.recordStore(true, at(3*time.Second)); return silent },
-		"server": func(*reachability) ServerSigns { return ServerSigns{Silent: 1, Heard: at(3 * time.Second)} },
+	for name, sign := range map[string]func(r *reachability) ServerAnswers{
+		"node":   func(r *reachability) ServerAnswers { r.recordPeer("x", true, at(3*time.Second)); return silent },
+		"store":  func(r *reachability) ServerAnswers { r.recordStore(true, at(3*time.Second)); return silent },
+		"server": func(*reachability) ServerAnswers { return ServerAnswers{Overdue: 1, LastAnswer: at(3 * time.Second)} },
 	} {
 		t.Run("any answer ends it: "+name, func(t *testing.T) {
 			r := newReachability(start)
--- a/internal/proxy/network/readers.go
+++ b/internal/proxy/network/readers.go
@@ -189,7 +189,7 @@
 	startup := s.node.startupReaders(readersLookupWait)
 	s.node.AwaitMembers(began.Add(membersListWait))
 	rounds, wait := 1, time.Duration(0)
-	if startup != nil || s.node.KnownMembers()+1 >= sharedListingMinNodes {
+	if startup != nil || s.node.KnownMemberCount()+1 >= sharedListingMinNodes {
 		// A reader that is starting too answers once it has listed.
 		rounds, wait = restartListRounds, restartListWait
 	}
@@ -198,7 +198,7 @@
 		s.node.awaitMembersSettled(ctx)
 		rounds = firstStartListRounds
 	}
-	request := relay.Question{Kind: kind, Wait: wait, MaxAge: s.node.watchWait(s.bound) + readerAgeSlack}
+	request := relay.Request{Kind: kind, Wait: wait, MaxAge: s.node.watchWait(s.bound) + readerAgeSlack}
 	for round := range rounds {
 		if round > 0 {
 			s.node.waitJittered(ctx, listRoundDelay)
@@ -231,7 +231,7 @@
 		return nil, 0, errNoReader
 	}
 	wait := time.Duration(readerWaitShare * float64(s.bound))
-	request := relay.Question{Kind: kind, Changes: true, After: after, Wait: wait, MaxAge: s.node.watchWait(s.bound) + readerAgeSlack}
+	request := relay.Request{Kind: kind, Changes: true, After: after, Wait: wait, MaxAge: s.node.watchWait(s.bound) + readerAgeSlack}
 	for range set.others {
 		answer, err := s.ask(ctx, s.current(set.others), request)
 		if err == nil && (!answer.Failed || answer.Outcome == objectstore.HistoryGone) {
@@ -246,7 +246,7 @@
 	return nil, 0, errNoReader
 }
 
-func (s *storeReaders) ask(ctx context.Context, reader Member, request relay.Question) (relay.Answer, error) {
+func (s *storeReaders) ask(ctx context.Context, reader Member, request relay.Request) (relay.Answer, error) {
 	s.mu.Lock()
 	timeout := s.timeout
 	s.mu.Unlock()
@@ -256,7 +256,7 @@
 func (s *storeReaders) resetTimeout() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.timeout = MemberAnswerLimit
+	s.timeout = MemberAnswerTimeout
 }
 
 func (s *storeReaders) extendTimeout() {
