--- a/internal/proxy/network/restore.go
+++ b/internal/proxy/network/restore.go
@@ -26,7 +26,7 @@
 
 // restoreOwnEntry writes this node's entry if it was lost.
 func (n *Network) restoreOwnEntry() {
-	ctx, cancel := context.WithTimeout(context.Background(), StoreCallLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), StoreCallTimeout)
 	defer cancel()
 	_, err := n.ports.Store.Get(ctx, n.options.Kinds.Members, n.options.Name)
 	if err != nil && objectstore.OutcomeOf(err) == objectstore.NotFound && n.writeOwnEntry(ctx, nil) {
@@ -45,7 +45,7 @@
 	if err != nil {
 		return
 	}
-	n.Catalog.ConfirmDirectory((&directorySink{n}).decodeAll(objects), time.Now())
+	n.Catalog.ReinstateServers((&directorySink{n}).decodeAll(objects), time.Now())
 }
 
 // isOlderConfiguration reports whether a listed configuration is older than the known one. Within a
--- a/internal/proxy/network/seeds.go
+++ b/internal/proxy/network/seeds.go
@@ -30,9 +30,9 @@
 		if own, err := n.ListMembers(ctx, timeout); err == nil {
 			if own == nil {
 				n.absentFromFirstList.Store(true)
-				n.delegate.TakeShare(false, time.Now())
+				n.delegate.AssignQuotaShare(false, time.Now())
 			} else {
-				n.delegate.TakeShare(true, time.Now())
+				n.delegate.AssignQuotaShare(true, time.Now())
 				// The entry was written before this start, so the list is not a partial one.
 				n.markMembersSettled()
 			}
@@ -43,7 +43,7 @@
 			n.markMembersSettled()
 			return
 		}
-		timeout = StoreCallLimit
+		timeout = StoreCallTimeout
 		n.waitJittered(ctx, firstMembersRetryDelay)
 	}
 }
@@ -65,13 +65,13 @@
 			seeds = append(seeds, Member{Address: address})
 		}
 	}
-	limited, cancel := context.WithTimeout(ctx, MemberAnswerLimit)
+	limited, cancel := context.WithTimeout(ctx, MemberAnswerTimeout)
 	defer cancel()
-	answers := n.collectAnswers(limited, seeds, relay.Question{Kind: n.options.Kinds.Members, RevisionOnly: true}, answerGrace)
+	answers := n.collectAnswers(limited, seeds, relay.Request{Kind: n.options.Kinds.Members, RevisionOnly: true}, answerGrace)
 	for _, address := range memberSources(answers) {
-		list, err := n.askPeer(ctx, address, relay.Question{Kind: n.options.Kinds.Members}, MemberAnswerLimit)
+		list, err := n.askPeer(ctx, address, relay.Request{Kind: n.options.Kinds.Members}, MemberAnswerTimeout)
 		if err == nil && len(list.Objects) > 0 {
-			n.delegate.TakeShare(n.applyMembers(list.Objects) != nil, time.Now())
+			n.delegate.AssignQuotaShare(n.applyMembers(list.Objects) != nil, time.Now())
 			return true
 		}
 	}
--- a/internal/proxy/network/sources.go
+++ b/internal/proxy/network/sources.go
@@ -22,8 +22,8 @@
 	// far one covers the case that a whole zone is cut off.
 	nearSources = 2
 	farSources  = 1
-	// MemberAnswerLimit is the timeout of other nodes' answers.
-	MemberAnswerLimit = 400 * time.Millisecond
+	// MemberAnswerTimeout is the timeout of other nodes' answers.
+	MemberAnswerTimeout = 400 * time.Millisecond
 	// stallTimeout bounds a pause within an answer. It allows for queueing on a full link and for
 	// a retransmission.
 	stallTimeout = time.Second
@@ -31,23 +31,23 @@
 
 // List implements objectstore.Source.
 func (o *peerSource) List(ctx context.Context, kind string) ([]objectstore.Object, era.Revision, error) {
-	return o.ask(ctx, relay.Question{Kind: kind})
+	return o.ask(ctx, relay.Request{Kind: kind})
 }
 
 // Watch implements objectstore.Source.
 func (o *peerSource) Watch(ctx context.Context, kind string, after era.Revision, wait time.Duration) ([]objectstore.Object, era.Revision, error) {
-	return o.ask(ctx, relay.Question{Kind: kind, Changes: true, After: after, Wait: wait})
+	return o.ask(ctx, relay.Request{Kind: kind, Changes: true, After: after, Wait: wait})
 }
 
 // ask first asks several nodes for their revisions and then requests the objects from the most
 // current one, since an answer may be a complete listing.
-func (o *peerSource) ask(ctx context.Context, request relay.Question) ([]objectstore.Object, era.Revision, error) {
-	o.node.AwaitMembers(time.Now().Add(MemberAnswerLimit))
+func (o *peerSource) ask(ctx context.Context, request relay.Request) ([]objectstore.Object, era.Revision, error) {
+	o.node.AwaitMembers(time.Now().Add(MemberAnswerTimeout))
 	best, found := o.newest(ctx, request.Kind)
 	if !found || (request.Changes && best.Revision <= request.After) {
 		return nil, 0, &objectstore.Error{Outcome: objectstore.NotDone, Detail: "no other node has a newer revision"}
 	}
-	answer, err := o.node.askObjects(ctx, best.From, request, MemberAnswerLimit)
+	answer, err := o.node.askObjects(ctx, best.From, request, MemberAnswerTimeout)
 	if err != nil {
 		return nil, 0, &objectstore.Error{Outcome: objectstore.NotDone, Detail: err.Error()}
 	}
@@ -57,7 +57,7 @@
 // sources returns the nodes to ask, nearest first: listings are large, and traffic between regions
 // is expensive.
 func (n *Network) sources() []Member {
-	members := n.SomeMembers(math.MaxInt)
+	members := n.RandomMembers(math.MaxInt)
 	slices.SortStableFunc(members, func(a, b Member) int {
 		return cmp.Compare(n.ZoneDistance(n.options.Zone, a.Zone), n.ZoneDistance(n.options.Zone, b.Zone))
 	})
@@ -71,10 +71,10 @@
 // newest returns the answer of the node with the highest revision of a kind, and of the nearest
 // among equals.
 func (o *peerSource) newest(ctx context.Context, kind string) (MemberAnswer, bool) {
-	limited, cancel := context.WithTimeout(ctx, MemberAnswerLimit)
+	limited, cancel := context.WithTimeout(ctx, MemberAnswerTimeout)
 	defer cancel()
 	sources := o.node.sources()
-	answers := o.node.collectAnswers(limited, sources, relay.Question{Kind: kind, RevisionOnly: true}, answerGrace)
+	answers := o.node.collectAnswers(limited, sources, relay.Request{Kind: kind, RevisionOnly: true}, answerGrace)
 	var best MemberAnswer
 	found := false
 	for _, source := range sources {
@@ -90,16 +90,16 @@
 // askObjects requests objects from another node. The timeout bounds the time until the answer
 // begins, in addition to the request's wait. Large objects arrive as patches if this node has
 // the base version, otherwise in pieces.
-func (n *Network) askObjects(ctx context.Context, address string, request relay.Question, timeout time.Duration) (relay.Answer, error) {
+func (n *Network) askObjects(ctx context.Context, address string, request relay.Request, timeout time.Duration) (relay.Answer, error) {
 	request.AcceptPatches, request.AcceptPieces = request.Changes, true
 	answer, err := n.askPeer(ctx, address, request, request.Wait+timeout)
 	if err != nil {
 		return answer, err
 	}
 	if !answer.Failed {
-		n.store.Learn(answer.Revision.Era())
+		n.store.LearnEra(answer.Revision.Era())
 	}
-	expanded, err := n.caches[request.Kind].Expand(answer.Patched)
+	expanded, err := n.caches[request.Kind].ApplyPatches(answer.Patched)
 	if err != nil {
 		request.AcceptPatches, request.Wait = false, 0
 		if answer, err = n.askPeer(ctx, address, request, timeout); err != nil {
@@ -120,7 +120,7 @@
 
 // askPeer sends a request to another node. The answer must begin within the timeout and may take
 // longer as long as it makes progress.
-func (n *Network) askPeer(ctx context.Context, address string, request relay.Question, timeout time.Duration) (relay.Answer, error) {
+func (n *Network) askPeer(ctx context.Context, address string, request relay.Request, timeout time.Duration) (relay.Answer, error) {
 	limited, cancel := stall.WithLimit(ctx, timeout, stallTimeout)
 	defer cancel()
 	answer, err := n.ports.Peers.Ask(limited, address, request)
@@ -131,7 +131,7 @@
 }
 
 // Answer implements relay.Handler.
-func (n *Network) Answer(ctx context.Context, request relay.Question) relay.Answer {
+func (n *Network) Answer(ctx context.Context, request relay.Request) relay.Answer {
 	if request.Server != "" && request.StepDown {
 		return n.answerStepDown(request.Server)
 	}
@@ -171,7 +171,7 @@
 }
 
 // answerFromCache answers a request for objects from this node's cache.
-func answerFromCache(ctx context.Context, cache *objectstore.Cache, request *relay.Question) (relay.Answer, error) {
+func answerFromCache(ctx context.Context, cache *objectstore.Cache, request *relay.Request) (relay.Answer, error) {
 	var answer relay.Answer
 	var err error
 	switch {
@@ -182,14 +182,14 @@
 	case request.Changes:
 		answer.Objects, answer.Revision, err = cache.Watch(ctx, request.After, request.Wait)
 		if request.AcceptPatches {
-			answer.Objects, answer.Patched = cache.Compact(answer.Objects, request.After)
+			answer.Objects, answer.Patched = cache.MakePatches(answer.Objects, request.After)
 		}
 	default:
 		cache.AwaitListed(ctx, request.Wait)
 		answer.Objects, answer.Revision, err = cache.List()
 	}
 	if request.AcceptPieces {
-		answer.Objects, answer.Large = cache.NameLarge(answer.Objects)
+		answer.Objects, answer.Large = cache.SplitLarge(answer.Objects)
 	}
 	return answer, err
 }
--- a/internal/proxy/network/sources_test.go
+++ b/internal/proxy/network/sources_test.go
@@ -26,7 +26,7 @@
 }
 
 // Ask implements Peers.
-func (p *fakePeers) Ask(_ context.Context, address string, request relay.Question) (relay.Answer, error) {
+func (p *fakePeers) Ask(_ context.Context, address string, request relay.Request) (relay.Answer, error) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	revision, known := p.revisions[address]
--- a/internal/proxy/network/traffic_metrics.go
+++ b/internal/proxy/network/traffic_metrics.go
@@ -19,8 +19,8 @@
 	busyBytes          = 256 << 10
 )
 
-// TrafficDue reports whether the next log line is due, given the time since the last one.
-func (n *Network) TrafficDue(since time.Duration) bool {
+// TrafficLogDue reports whether the next log line is due, given the time since the last one.
+func (n *Network) TrafficLogDue(since time.Duration) bool {
 	return since > trafficLogInterval || (since > busyLogInterval && n.ports.Traffic.Sent() >= n.loggedSent+busyBytes)
 }
 
@@ -65,8 +65,8 @@
 	zones := make(map[string]string, 2*len(members))
 	for _, member := range members {
 		zones[member.Address] = member.Zone
-		if member.Tokens != "" {
-			zones[member.Tokens] = member.Zone
+		if member.TokenAddress != "" {
+			zones[member.TokenAddress] = member.Zone
 		}
 		if host, _, err := net.SplitHostPort(member.Address); err == nil {
 			zones[host] = member.Zone
--- a/internal/proxy/network/transfer.go
+++ b/internal/proxy/network/transfer.go
@@ -81,7 +81,7 @@
 
 // ask requests the next piece.
 func (t *transfers) ask(ctx context.Context, address, kind string, p *partialObject) (relay.Answer, error) {
-	answer, err := t.node.askPeer(ctx, address, relay.Question{
+	answer, err := t.node.askPeer(ctx, address, relay.Request{
 		Kind: kind, Piece: &relay.Piece{Object: p.Name, Revision: p.Revision, Offset: len(p.content)},
 	}, pieceAnswerTimeout)
 	switch {
--- a/internal/proxy/network/transfer_test.go
+++ b/internal/proxy/network/transfer_test.go
@@ -26,7 +26,7 @@
 	// are answered with RetryAfter.
 	fails    func(request int) error
 	rejected map[int]bool
-	requests []relay.Question
+	requests []relay.Request
 	served   int
 }
 
@@ -37,7 +37,7 @@
 func (discardSink) Reset([]objectstore.Object, era.Revision) {}
 
 // Ask implements Peers.
-func (p *fakePieceSource) Ask(_ context.Context, _ string, request relay.Question) (relay.Answer, error) {
+func (p *fakePieceSource) Ask(_ context.Context, _ string, request relay.Request) (relay.Answer, error) {
 	p.requests = append(p.requests, request)
 	if err := p.fails(len(p.requests)); err != nil {
 		return relay.Answer{}, err
@@ -64,7 +64,7 @@
 func newPieceSource(object objectstore.Object) (*fakePieceSource, objectstore.LargeObject) {
 	cache := objectstore.NewCache(discardSink{})
 	cache.Apply([]objectstore.Object{object}, object.Revision)
-	_, large := cache.NameLarge([]objectstore.Object{object})
+	_, large := cache.SplitLarge([]objectstore.Object{object})
 	return &fakePieceSource{cache: cache, rejected: map[int]bool{}, fails: func(int) error { return nil }}, large[0]
 }
 
@@ -137,7 +137,7 @@
 		newer.Revision, newer.Content = 8, slices.Clone(object.Content)
 		newer.Content[0]++
 		source.cache.Apply([]objectstore.Object{newer}, 8)
-		_, large := source.cache.NameLarge([]objectstore.Object{newer})
+		_, large := source.cache.SplitLarge([]objectstore.Object{newer})
 		fetched, err := node.transfers.fetch(t.Context(), "a1", "kind", &large[0])
 		must.NoError(t, err)
 		must.True(t, bytes.Equal(newer.Content, fetched.Content))
--- a/internal/proxy/node.go
+++ b/internal/proxy/node.go
@@ -72,16 +72,16 @@
 	Zone string
 	// PeerAddress is the address at which other nodes reach this one.
 	PeerAddress string
-	// Agreed makes the nodes agree on tenures by quorum. It is needed where the platform doesn't
+	// UsesTenures makes the nodes agree on tenures by quorum. It is needed where the platform doesn't
 	// check fencing tokens. MessageAddress is where the node receives the quorum's messages.
-	Agreed         bool
+	UsesTenures    bool
 	MessageAddress string
 	// Seeds are addresses of other nodes, which a starting node asks while the store doesn't
 	// answer. They may be out of date.
 	Seeds   []string
 	Regions map[string]string // region by zone
-	// Life identifies this incarnation of the node's process.
-	Life string
+	// Incarnation identifies this incarnation of the node's process.
+	Incarnation string
 	// ConfigurationBound is the time within which a configuration change must be in force.
 	ConfigurationBound time.Duration
 	// DrainBound is the time after which a leaving server must not receive new work.
@@ -192,10 +192,10 @@
 
 func backendOptions(options *Options) backends.Options {
 	return backends.Options{
-		Name: options.Name, Zone: options.Zone, Life: options.Life, Regions: options.Regions,
+		Name: options.Name, Zone: options.Zone, Incarnation: options.Incarnation, Regions: options.Regions,
 		DrainBound: options.DrainBound, EvacuationBound: options.EvacuationBound,
 		ColdOverage: options.ColdOverage, ColdSlack: options.ColdSlack, FirstStart: options.FirstStart,
-		Agreed: options.Agreed, MessageAddress: options.MessageAddress, Kinds: options.Kinds,
+		Agreed: options.UsesTenures, MessageAddress: options.MessageAddress, Kinds: options.Kinds,
 		Capacity: options.Capacity,
 	}
 }
@@ -247,16 +247,16 @@
 // acceptPause is the pause after a failed accept, for instance when no file descriptors are left.
 const acceptPause = 20 * time.Millisecond
 
-// networkDuties implements network.Duties on a Node, together with the methods of Backends.
+// networkDuties implements network.Delegate on a Node, together with the methods of Backends.
 type networkDuties struct{ *Node }
 
-// MembersChanged implements network.Duties.
+// MembersChanged implements network.Delegate.
 func (d networkDuties) MembersChanged() { d.updateQuotaFleet() }
 
-// TakeShare implements network.Duties.
-func (d networkDuties) TakeShare(listed bool, now time.Time) bool {
+// AssignQuotaShare implements network.Delegate.
+func (d networkDuties) AssignQuotaShare(listed bool, now time.Time) bool {
 	return d.takeQuotaShare(listed, now)
 }
 
-// AwaitInformed implements network.Duties.
-func (d networkDuties) AwaitInformed() { d.awaitConfiguration(time.Now()) }
+// AwaitCatalogLoaded implements network.Delegate.
+func (d networkDuties) AwaitCatalogLoaded() { d.awaitConfiguration(time.Now()) }
--- a/internal/proxy/objectstore/follow.go
+++ b/internal/proxy/objectstore/follow.go
@@ -80,9 +80,9 @@
 // FollowConfig configures Follow.
 type FollowConfig struct {
 	Store Source
-	// Others, if not nil, is queried while the store doesn't answer. It limits the duration of its
+	// Peers, if not nil, is queried while the store doesn't answer. It limits the duration of its
 	// own calls.
-	Others Source
+	Peers Source
 	// Readers, if not nil, provides the data of nodes that watch the store for others. Its calls
 	// fail if this node is a reader itself, or if no reader is up to date.
 	Readers ReaderSource
@@ -90,9 +90,9 @@
 	// Wait returns the longest time that a watch of the store may wait for changes.
 	Wait func() time.Duration
 	Sink Sink
-	// Heard, if not nil, is called after each answer of the store or of a reader. An answer of the
+	// OnAnswer, if not nil, is called after each answer of the store or of a reader. An answer of the
 	// store began at the given time; for an answer of a reader it is the start of the call.
-	Heard func(began time.Time)
+	OnAnswer func(began time.Time)
 }
 
 // ReaderSource lists and watches the data of nodes that watch the store for others.
@@ -195,7 +195,7 @@
 
 func (f *follower) list(ctx context.Context) {
 	timeout := answerTimeout
-	if f.Others != nil && f.peersQueriedAt.IsZero() {
+	if f.Peers != nil && f.peersQueriedAt.IsZero() {
 		timeout = firstListTimeout
 	}
 	callCtx, cancel := stall.WithLimit(ctx, timeout, answerTimeout)
@@ -205,10 +205,10 @@
 		f.failed(ctx, err)
 		return
 	}
-	f.succeeded(stall.Began(callCtx))
+	f.succeeded(stall.FirstByteTime(callCtx))
 	f.listed, f.revision = true, revision
 	f.Sink.Reset(objects, revision)
-	f.Sink.Confirmed(stall.Began(callCtx))
+	f.Sink.Confirmed(stall.FirstByteTime(callCtx))
 }
 
 func (f *follower) watch(ctx context.Context) {
@@ -227,18 +227,18 @@
 		f.failed(ctx, err)
 		return
 	}
-	f.succeeded(stall.Began(callCtx))
+	f.succeeded(stall.FirstByteTime(callCtx))
 	f.revision = revision
 	f.Sink.Apply(events, revision)
-	f.Sink.Confirmed(stall.Began(callCtx))
+	f.Sink.Confirmed(stall.FirstByteTime(callCtx))
 	if len(events) > 0 {
 		f.waitForBatch(ctx)
 	}
 }
 
 func (f *follower) succeeded(began time.Time) {
-	if f.Heard != nil {
-		f.Heard(began)
+	if f.OnAnswer != nil {
+		f.OnAnswer(began)
 	}
 	f.delay = 0
 	if !f.answering {
@@ -266,12 +266,12 @@
 
 // queryPeers queries other nodes and applies their data if it is newer.
 func (f *follower) queryPeers(ctx context.Context) {
-	if f.Others == nil || time.Since(f.peersQueriedAt) < minPeerQueryInterval {
+	if f.Peers == nil || time.Since(f.peersQueriedAt) < minPeerQueryInterval {
 		return
 	}
 	f.peersQueriedAt = time.Now()
 	if f.listed {
-		events, revision, err := f.Others.Watch(ctx, f.Kind, f.revision, 0)
+		events, revision, err := f.Peers.Watch(ctx, f.Kind, f.revision, 0)
 		if err == nil && revision > f.revision {
 			f.revision = revision
 			f.Sink.Apply(events, revision)
@@ -280,7 +280,7 @@
 			return
 		}
 	}
-	objects, revision, err := f.Others.List(ctx, f.Kind)
+	objects, revision, err := f.Peers.List(ctx, f.Kind)
 	if err == nil && revision > f.revision {
 		f.listed, f.revision = true, revision
 		f.Sink.Reset(objects, revision)
--- a/internal/proxy/objectstore/follow_test.go
+++ b/internal/proxy/objectstore/follow_test.go
@@ -224,7 +224,7 @@
 			Follow(ctx, FollowConfig{Store: working, Kind: "kind", Wait: constant(2 * time.Second), Sink: cache})
 		})
 		following.Go(func() {
-			Follow(ctx, FollowConfig{Store: failing, Others: cacheSource{cache}, Kind: "kind", Wait: constant(2 * time.Second), Sink: sink})
+			Follow(ctx, FollowConfig{Store: failing, Peers: cacheSource{cache}, Kind: "kind", Wait: constant(2 * time.Second), Sink: sink})
 		})
 		time.Sleep(time.Second)
 		failing.setBlocked(true)
@@ -273,7 +273,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		var following sync.WaitGroup
 		following.Go(func() {
-			Follow(ctx, FollowConfig{Store: rejectingStore{}, Others: peers, Kind: "kind", Wait: constant(2 * time.Second), Sink: &recordingSink{}})
+			Follow(ctx, FollowConfig{Store: rejectingStore{}, Peers: peers, Kind: "kind", Wait: constant(2 * time.Second), Sink: &recordingSink{}})
 		})
 		time.Sleep(10 * time.Second)
 		cancel()
--- a/internal/proxy/objectstore/guarded.go
+++ b/internal/proxy/objectstore/guarded.go
@@ -11,10 +11,10 @@
 	"dewknot/internal/base/era"
 )
 
-// Guarded wraps a store and accepts only answers of the latest known era. The store compares only
+// EraGuard wraps a store and accepts only answers of the latest known era. The store compares only
 // the numbers of revisions and reuses them in a new era, so a condition on a revision of an earlier
 // era may match another change by coincidence. Guarded is safe for concurrent use.
-type Guarded struct {
+type EraGuard struct {
 	store Store
 	// onRestore is called when a later era replaces a known one.
 	onRestore func(earlier, later uint64)
@@ -24,22 +24,22 @@
 	latest  uint64
 }
 
-// NewGuarded returns a guarded store. It calls onRestore, without holding a lock, when the store
+// NewEraGuard returns a guarded store. It calls onRestore, without holding a lock, when the store
 // turns out to have been restored from an older copy.
-func NewGuarded(store Store, onRestore func(earlier, later uint64)) *Guarded {
-	return &Guarded{store: store, onRestore: onRestore}
+func NewEraGuard(store Store, onRestore func(earlier, later uint64)) *EraGuard {
+	return &EraGuard{store: store, onRestore: onRestore}
 }
 
 // Era returns the latest known era.
-func (g *Guarded) Era() uint64 {
+func (g *EraGuard) Era() uint64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.latest
 }
 
-// Learn records an era reported by the store or by another node. It returns false if a later era is
+// LearnEra records an era reported by the store or by another node. It returns false if a later era is
 // known.
-func (g *Guarded) Learn(newEra uint64) bool {
+func (g *EraGuard) LearnEra(newEra uint64) bool {
 	g.mu.Lock()
 	earlier, first := g.latest, !g.learned
 	g.learned = true
@@ -56,24 +56,24 @@
 }
 
 // checkEra records the era of an answer. It fails with the given outcome if a later era is known.
-func (g *Guarded) checkEra(answerEra uint64, outcome Outcome) error {
-	if g.Learn(answerEra) {
+func (g *EraGuard) checkEra(answerEra uint64, outcome Outcome) error {
+	if g.LearnEra(answerEra) {
 		return nil
 	}
 	return &Error{Outcome: outcome, Detail: fmt.Sprintf("the store answered in era %d; a later one is known", answerEra), Era: answerEra}
 }
 
 // learnFromError records the era named by the error of a failed call, and returns the error.
-func (g *Guarded) learnFromError(err error) error {
+func (g *EraGuard) learnFromError(err error) error {
 	var storeErr *Error
 	if errors.As(err, &storeErr) && storeErr.Era > 0 {
-		g.Learn(storeErr.Era)
+		g.LearnEra(storeErr.Era)
 	}
 	return err
 }
 
 // List implements Store.
-func (g *Guarded) List(ctx context.Context, kind string) ([]Object, era.Revision, error) {
+func (g *EraGuard) List(ctx context.Context, kind string) ([]Object, era.Revision, error) {
 	objects, revision, err := g.store.List(ctx, kind)
 	if err != nil {
 		return nil, 0, g.learnFromError(err)
@@ -85,7 +85,7 @@
 }
 
 // ListStale implements Store.
-func (g *Guarded) ListStale(ctx context.Context, kind string) ([]Object, error) {
+func (g *EraGuard) ListStale(ctx context.Context, kind string) ([]Object, error) {
 	objects, err := g.store.ListStale(ctx, kind)
 	if err != nil {
 		return nil, g.learnFromError(err)
@@ -99,7 +99,7 @@
 }
 
 // Watch implements Store. It fails with HistoryGone if the store's era is not that of the revision.
-func (g *Guarded) Watch(ctx context.Context, kind string, after era.Revision, wait time.Duration) ([]Object, era.Revision, error) {
+func (g *EraGuard) Watch(ctx context.Context, kind string, after era.Revision, wait time.Duration) ([]Object, era.Revision, error) {
 	events, revision, err := g.store.Watch(ctx, kind, after, wait)
 	if err != nil {
 		return nil, 0, g.learnFromError(err)
@@ -114,7 +114,7 @@
 }
 
 // Get implements Store.
-func (g *Guarded) Get(ctx context.Context, kind, name string) (Object, error) {
+func (g *EraGuard) Get(ctx context.Context, kind, name string) (Object, error) {
 	object, err := g.store.Get(ctx, kind, name)
 	if err != nil {
 		return object, g.learnFromError(err)
@@ -123,7 +123,7 @@
 }
 
 // GetStale implements Store.
-func (g *Guarded) GetStale(ctx context.Context, kind, name string) (Object, error) {
+func (g *EraGuard) GetStale(ctx context.Context, kind, name string) (Object, error) {
 	object, err := g.store.GetStale(ctx, kind, name)
 	if err != nil {
 		return object, g.learnFromError(err)
@@ -132,7 +132,7 @@
 }
 
 // Create implements Store.
-func (g *Guarded) Create(ctx context.Context, kind, name string, content []byte) (Object, error) {
+func (g *EraGuard) Create(ctx context.Context, kind, name string, content []byte) (Object, error) {
 	object, err := g.store.Create(ctx, kind, name, content)
 	if err != nil {
 		return object, g.learnFromError(err)
@@ -141,7 +141,7 @@
 }
 
 // Replace implements Store.
-func (g *Guarded) Replace(ctx context.Context, kind, name string, revision era.Revision, content []byte) (Object, error) {
+func (g *EraGuard) Replace(ctx context.Context, kind, name string, revision era.Revision, content []byte) (Object, error) {
 	if revision.Era() < g.Era() {
 		return Object{}, earlierEraError(revision)
 	}
@@ -153,7 +153,7 @@
 }
 
 // Delete implements Store.
-func (g *Guarded) Delete(ctx context.Context, kind, name string, revision era.Revision) (uint64, error) {
+func (g *EraGuard) Delete(ctx context.Context, kind, name string, revision era.Revision) (uint64, error) {
 	if revision.Era() < g.Era() {
 		return 0, earlierEraError(revision)
 	}
@@ -172,7 +172,7 @@
 
 // checkCondition verifies a change that the store has executed on a condition. If the store's era
 // is not that of the condition, the condition matched by coincidence and the outcome is Unknown.
-func (g *Guarded) checkCondition(condition era.Revision, answerEra uint64) error {
+func (g *EraGuard) checkCondition(condition era.Revision, answerEra uint64) error {
 	if err := g.checkEra(answerEra, Unknown); err != nil {
 		return err
 	}
--- a/internal/proxy/objectstore/guarded_test.go
+++ b/internal/proxy/objectstore/guarded_test.go
@@ -69,7 +69,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		store := &restoringStore{number: 3, backupNumber: 3}
 		var learnedEras []uint64
-		guarded := NewGuarded(store, func(_, later uint64) { learnedEras = append(learnedEras, later) })
+		guarded := NewEraGuard(store, func(_, later uint64) { learnedEras = append(learnedEras, later) })
 		lastRevision := store.currentRevision()
 		t.Repeat(map[string]func(*rapid.T){
 			"copy": func(*rapid.T) { store.backupNumber = store.number },
@@ -113,8 +113,8 @@
 
 func TestAnswersOfEarlierErasAreRejected(t *testing.T) {
 	store := &restoringStore{number: 3}
-	guarded := NewGuarded(store, func(_, _ uint64) {})
-	must.True(t, guarded.Learn(2))
+	guarded := NewEraGuard(store, func(_, _ uint64) {})
+	must.True(t, guarded.LearnEra(2))
 	_, err := guarded.Get(t.Context(), "kind", "name")
 	must.Eq(t, NotDone, OutcomeOf(err))
 	must.ErrorContains(t, err, "a later one is known")
--- a/internal/proxy/objectstore/patches.go
+++ b/internal/proxy/objectstore/patches.go
@@ -120,9 +120,9 @@
 	return nil
 }
 
-// Compact replaces large objects by patches for a node that knows all changes up to a revision. If
+// MakePatches replaces large objects by patches for a node that knows all changes up to a revision. If
 // that node has a different version, the patch fails there and it requests the complete object.
-func (c *Cache) Compact(objects []Object, after era.Revision) (full []Object, patched []PatchedObject) {
+func (c *Cache) MakePatches(objects []Object, after era.Revision) (full []Object, patched []PatchedObject) {
 	for i := range objects {
 		object := &objects[i]
 		if patch, ok := c.versions.patch(object, after); ok && !object.Deleted {
@@ -134,9 +134,9 @@
 	return full, patched
 }
 
-// Expand applies patches to the cached versions and returns the resulting objects. It fails if a
+// ApplyPatches applies patches to the cached versions and returns the resulting objects. It fails if a
 // cached version is not the base of its patch.
-func (c *Cache) Expand(patched []PatchedObject) ([]Object, error) {
+func (c *Cache) ApplyPatches(patched []PatchedObject) ([]Object, error) {
 	objects := make([]Object, 0, len(patched))
 	for i := range patched {
 		update := &patched[i]
--- a/internal/proxy/objectstore/pieces.go
+++ b/internal/proxy/objectstore/pieces.go
@@ -44,9 +44,9 @@
 	return Object{Name: l.Name, Revision: l.Revision, Content: content}, nil
 }
 
-// NameLarge splits objects into those that are sent inline and references to those that are fetched
+// SplitLarge splits objects into those that are sent inline and references to those that are fetched
 // in pieces.
-func (c *Cache) NameLarge(objects []Object) (inline []Object, large []LargeObject) {
+func (c *Cache) SplitLarge(objects []Object) (inline []Object, large []LargeObject) {
 	for i := range objects {
 		object := &objects[i]
 		if len(object.Content) < minLargeBytes {
--- a/internal/proxy/objectstore/pieces_test.go
+++ b/internal/proxy/objectstore/pieces_test.go
@@ -39,7 +39,7 @@
 		object := Object{Name: "main", Revision: 7, Content: compressibleText(size, uint64(size))}
 		cache := NewCache(discard{})
 		cache.Apply([]Object{object}, 7)
-		inline, large := cache.NameLarge([]Object{object})
+		inline, large := cache.SplitLarge([]Object{object})
 		if size < minLargeBytes {
 			must.Len(rt, 1, inline)
 			must.SliceEmpty(rt, large)
@@ -65,7 +65,7 @@
 func TestMismatchedPiecesAreRejected(t *testing.T) {
 	cache := NewCache(discard{})
 	object := Object{Name: "main", Revision: 7, Content: compressibleText(8*PieceBytes, 7)}
-	_, large := cache.NameLarge([]Object{object})
+	_, large := cache.SplitLarge([]Object{object})
 	_, err := cache.Piece("main", 6, 0)
 	must.Eq(t, NotFound, OutcomeOf(err))
 	_, err = cache.Piece("main", 7, large[0].Size)
--- a/internal/proxy/outage_test.go
+++ b/internal/proxy/outage_test.go
@@ -56,7 +56,7 @@
 				served, refused, _ := fleet.sendOften(command.Write, "WRITE 1 x", time.Second)
 				must.Positive(t, served)
 				must.Zero(t, refused)
-				fleet.promoter.SetLate(time.Minute)
+				fleet.promoter.SetOrderDelay(time.Minute)
 				fleet.group.Primary().Crash()
 				var waiting sync.WaitGroup
 				for i := range 4 * fleetOfFive {
@@ -75,7 +75,7 @@
 					must.Positive(t, refused)
 					must.Less(t, rejectionTimeout, slowest)
 				}
-				fleet.promoter.SetLate(0)
+				fleet.promoter.SetOrderDelay(0)
 				time.Sleep(6 * time.Second)
 				served, refused, _ = fleet.sendOften(command.Write, "WRITE 1 x", time.Second)
 				must.Positive(t, served)
--- a/internal/proxy/quorum/member.go
+++ b/internal/proxy/quorum/member.go
@@ -66,7 +66,7 @@
 
 // peer is a member's state of one voter.
 type peer struct {
-	entry       Seat
+	entry       VoterEntry
 	incarnation uint64
 	revision    uint64
 	// completeAt is when the renewal was sent whose answer completed the voter's records; zero
@@ -118,7 +118,7 @@
 // SetTable installs a newer table and drops the leases of the previous generation. It returns
 // the services whose views have changed.
 func (n *Member) SetTable(now time.Time, table *Table) []string {
-	if n.table != nil && table.Era <= n.table.Era {
+	if n.table != nil && table.Generation <= n.table.Generation {
 		return nil
 	}
 	// Round-trip times remain valid in the new generation.
@@ -128,7 +128,7 @@
 	}
 	n.table = table
 	n.peers = nil
-	for _, entry := range table.Seats {
+	for _, entry := range table.Entries {
 		p := &peer{entry: entry, records: map[string]Record{}, lease: &Lease{}, heardAt: now}
 		p.rtt = estimators[entry.Name]
 		n.peers = append(n.peers, p)
@@ -145,7 +145,7 @@
 func (n *Member) View(service string) *View { return n.views[service] }
 
 // Due returns the renewals to send now and the time at which the next one is due.
-func (n *Member) Due(now time.Time, mode Haste) ([]Envelope, time.Time) {
+func (n *Member) Due(now time.Time, mode RenewalMode) ([]Envelope, time.Time) {
 	var out []Envelope
 	next := now.Add(RenewInterval)
 	spares, idle := n.spares(now, mode), n.idle(mode)
@@ -172,8 +172,8 @@
 // spares returns the voters whose leases need not be renewed now, because a majority of faster
 // voters has answered in time. A voter's own member renews all leases, since it monitors the
 // other voters.
-func (n *Member) spares(now time.Time, mode Haste) []*peer {
-	if mode != Calm || n.table == nil || n.table.Seat(n.name) != nil {
+func (n *Member) spares(now time.Time, mode RenewalMode) []*peer {
+	if mode != RenewNormal || n.table == nil || n.table.VoterEntry(n.name) != nil {
 		return nil
 	}
 	var healthy, late []*peer
@@ -201,7 +201,7 @@
 		p.sent = p.sent[1:]
 	}
 	return Envelope{p.entry.Address, Message{
-		Kind: Renew, From: n.name, Life: n.incarnation, Era: n.table.Era, Sequence: n.sequence, Known: p.revision, KnownLife: p.incarnation,
+		Kind: Renew, From: n.name, Incarnation: n.incarnation, Generation: n.table.Generation, Sequence: n.sequence, KnownRevision: p.revision, KnownIncarnation: p.incarnation,
 	}}
 }
 
@@ -218,7 +218,7 @@
 // whose views have changed.
 func (n *Member) Step(now time.Time, from string, m *Message) ([]Envelope, []string) {
 	p := n.peer(m.From)
-	if p == nil || n.table.Era != m.Era {
+	if p == nil || n.table.Generation != m.Generation {
 		return nil, nil
 	}
 	switch m.Kind {
@@ -258,8 +258,8 @@
 	// The answer was useful if it brought records or replaced an expired lease.
 	expired := p.lease.until.Load() <= int64(now.Sub(n.base))
 	p.answerReceived(now, request.sentAt, expired || len(m.Records) > 0)
-	p.resetIfRestarted(m.Life)
-	if request.knownIncarnation == m.Life && request.knownRevision > p.revision {
+	p.resetIfRestarted(m.Incarnation)
+	if request.knownIncarnation == m.Incarnation && request.knownRevision > p.revision {
 		// The answer omits records that were known at the time of the request but discarded since.
 		return nil, nil
 	}
@@ -269,7 +269,7 @@
 		return []Envelope{n.renewal(now, p)}, changed
 	}
 	p.completeAt = request.sentAt
-	until := int64(request.sentAt.Add(LeaseSpan - clockMargin).Sub(n.base))
+	until := int64(request.sentAt.Add(LeaseDuration - clockMargin).Sub(n.base))
 	p.lease.until.Store(max(p.lease.until.Load(), until))
 	if m.Recall {
 		return []Envelope{{from, n.releaseMessage(p, m, 0)}}, changed
@@ -281,8 +281,8 @@
 // longer uses tenures that these records close.
 func (n *Member) releaseMessage(p *peer, m *Message, sequence uint64) Message {
 	return Message{
-		Kind: Released, From: n.name, Life: n.incarnation, Era: m.Era, Sequence: sequence, Service: m.Service, Ballot: m.Ballot,
-		Revision: p.revision, KnownLife: p.incarnation,
+		Kind: Released, From: n.name, Incarnation: n.incarnation, Generation: m.Generation, Sequence: sequence, Service: m.Service, Ballot: m.Ballot,
+		Revision: p.revision, KnownIncarnation: p.incarnation,
 	}
 }
 
@@ -301,9 +301,9 @@
 // message names. If the member lacks that revision, it may have missed earlier changes, and its
 // own revision must not advance. The answer reports the member's revision.
 func (n *Member) handlePush(now time.Time, from string, p *peer, m *Message) ([]Envelope, []string) {
-	p.resetIfRestarted(m.Life)
+	p.resetIfRestarted(m.Incarnation)
 	changed := n.applyRecords(now, p, m.Records)
-	if m.Known <= p.revision {
+	if m.KnownRevision <= p.revision {
 		p.revision = max(p.revision, m.Revision)
 	}
 	if !m.Recall {
@@ -367,11 +367,13 @@
 	return rtt, misses
 }
 
-// Settled reports whether the records of all voters in use are complete.
-func (n *Member) Settled() bool { return n.Whole()+len(n.idle(Calm)) >= len(n.peers) }
+// AllComplete reports whether the records of all voters in use are complete.
+func (n *Member) AllComplete() bool {
+	return n.CompleteVoters()+len(n.idle(RenewNormal)) >= len(n.peers)
+}
 
-// Whole returns the number of voters whose records are complete.
-func (n *Member) Whole() int {
+// CompleteVoters returns the number of voters whose records are complete.
+func (n *Member) CompleteVoters() int {
 	count := 0
 	for _, p := range n.peers {
 		if !p.completeAt.IsZero() {
@@ -381,9 +383,9 @@
 	return count
 }
 
-// Holdings returns the complete records of each other voter, as of a request sent no earlier
+// RecordSets returns the complete records of each other voter, as of a request sent no earlier
 // than after. A recovering voter uses them.
-func (n *Member) Holdings(after time.Time) [][]Record {
+func (n *Member) RecordSets(after time.Time) [][]Record {
 	var recordSets [][]Record
 	for _, p := range n.peers {
 		if p.entry.Name == n.name || p.completeAt.IsZero() || p.completeAt.Before(after) {
@@ -398,10 +400,10 @@
 	return recordSets
 }
 
-// Silent returns the voters without an answer for the timeout, or without any answer for
+// SilentVoters returns the voters without an answer for the timeout, or without any answer for
 // firstWait since the table was set. The measured delay of a voter's answers is added, so that a
 // congested link does not count as a failure.
-func (n *Member) Silent(now time.Time, timeout, firstWait time.Duration) []string {
+func (n *Member) SilentVoters(now time.Time, timeout, firstWait time.Duration) []string {
 	var silent []string
 	for _, p := range n.peers {
 		elapsed := now.Sub(p.heardAt) - p.rtt.excessDelay()
@@ -412,10 +414,10 @@
 	return silent
 }
 
-// Heard returns the number of voters whose last answer is within the window plus their measured
+// ReachableVoters returns the number of voters whose last answer is within the window plus their measured
 // delay. A voter that has not answered yet counts from the time the table was set, the member's
 // own voter always.
-func (n *Member) Heard(now time.Time, window time.Duration) int {
+func (n *Member) ReachableVoters(now time.Time, window time.Duration) int {
 	count := 0
 	for _, p := range n.peers {
 		if p.entry.Name == n.name || now.Sub(p.heardAt)-p.rtt.excessDelay() < window {
@@ -425,8 +427,8 @@
 	return count
 }
 
-// Lost returns the number of other voters that have no state and answered within the window.
-func (n *Member) Lost(now time.Time, window time.Duration) int {
+// VotersWithoutState returns the number of other voters that have no state and answered within the window.
+func (n *Member) VotersWithoutState(now time.Time, window time.Duration) int {
 	count := 0
 	for _, p := range n.peers {
 		if p.entry.Name != n.name && p.recoveringAge > 0 && now.Sub(p.heardAt) < window {
--- a/internal/proxy/quorum/message.go
+++ b/internal/proxy/quorum/message.go
@@ -73,15 +73,15 @@
 	Kind Kind
 	// From is the sender's name.
 	From string
-	// Life is unique to the sender's process.
-	Life uint64
-	Era  uint64
+	// Incarnation is unique to the sender's process.
+	Incarnation uint64
+	Generation  uint64
 	// Sequence is chosen by the requester and returned with the answer.
 	Sequence uint64
-	// Known is the revision up to which a member knows a voter's records. KnownLife is the
+	// KnownRevision is the revision up to which a member knows a voter's records. KnownIncarnation is the
 	// voter's incarnation to which that revision belongs.
-	Known     uint64
-	KnownLife uint64
+	KnownRevision    uint64
+	KnownIncarnation uint64
 	// Revision is the revision up to which the voter's records have been sent.
 	Revision uint64
 	// More is set if the next request will bring further records. With Seal, it allows several
@@ -95,10 +95,10 @@
 	Ordering bool
 	// Term is, with Open, the term in which the primary leads.
 	Term uint64
-	// Loose is set, with Open, if an order is unconfirmed. LooseFor is, with Promised, how long
+	// Unconfirmed is set, with Open, if an order is unconfirmed. UnconfirmedFor is, with Promised, how long
 	// an unconfirmed order in the record may still be carried out.
-	Loose    bool
-	LooseFor time.Duration
+	Unconfirmed    bool
+	UnconfirmedFor time.Duration
 	// Clear is set if the voter has no outstanding lease of a closed tenure.
 	Clear bool
 	// Normal is set if the voter has its state. Age is the age of its process.
@@ -109,7 +109,7 @@
 }
 
 // candidate returns the process that sent the message.
-func (m *Message) candidate() Candidate { return Candidate{m.From, m.Life} }
+func (m *Message) candidate() Candidate { return Candidate{m.From, m.Incarnation} }
 
 // Envelope is a message with the address of its receiver.
 type Envelope struct {
--- a/internal/proxy/quorum/model_test.go
+++ b/internal/proxy/quorum/model_test.go
@@ -136,13 +136,13 @@
 		campaign: map[string]*candidate{}, frozen: map[string]time.Time{}, isolated: map[string]time.Time{}, answers: map[string][]answer{},
 		takeovers: []takeover{{modelServers[0], start}}, orderedBy: map[uint64]string{}, lastBallot: map[string]uint64{},
 	}
-	table := &Table{Era: 1, Records: []Record{{
+	table := &Table{Generation: 1, Records: []Record{{
 		Service: modelService, Promised: 1, Candidate: Candidate{"m0", 0}, Chosen: Tenure{1, modelServers[0]}, Open: true,
 	}}}
 	for _, name := range w.names() {
 		w.incarnations[name] = 1
 		if strings.HasPrefix(name, "v") {
-			table.Seats = append(table.Seats, Seat{Name: name, Address: name, Life: 1})
+			table.Entries = append(table.Entries, VoterEntry{Name: name, Address: name, Incarnation: 1})
 		}
 	}
 	for _, name := range w.names() {
@@ -249,7 +249,7 @@
 	}
 	if w.disabled == recallIgnored && m.Kind == Push && m.Recall {
 		w.send(pkt.to, []Envelope{{pkt.from, Message{
-			Kind: Released, From: pkt.to, Life: w.incarnations[pkt.to], Era: m.Era, Service: m.Service, Ballot: m.Ballot,
+			Kind: Released, From: pkt.to, Incarnation: w.incarnations[pkt.to], Generation: m.Generation, Service: m.Service, Ballot: m.Ballot,
 		}}})
 		return
 	}
@@ -257,7 +257,7 @@
 	w.send(pkt.to, out)
 	voter := w.voters[pkt.to]
 	if voter.Recovering() {
-		voter.Recover(w.now, voter.table.Era, member.Holdings(voter.RecoversAfter()))
+		voter.Recover(w.now, voter.table.Generation, member.RecordSets(voter.RecoversAfter()))
 	}
 	if c := w.campaign[pkt.to]; c != nil {
 		w.handleAnswer(pkt.to, c, &m)
@@ -273,7 +273,7 @@
 
 // handleAnswer processes an answer to a candidate and advances the campaign.
 func (w *modelWorld) handleAnswer(name string, c *candidate, m *Message) {
-	if m.Ballot != c.ballot || w.now.Sub(c.since) > CountSpan && c.phase != "clear" {
+	if m.Ballot != c.ballot || w.now.Sub(c.since) > AnswerWindow && c.phase != "clear" {
 		return
 	}
 	switch {
@@ -290,8 +290,8 @@
 		var records []Record
 		for _, answered := range c.answered {
 			records = append(records, answered.Records...)
-			if until := w.now.Add(answered.LooseFor); answered.LooseFor > 0 && until.After(c.unconfirmedUntil) {
-				c.unconfirmedServer, c.unconfirmedUntil = answered.Records[0].Loose, until
+			if until := w.now.Add(answered.UnconfirmedFor); answered.UnconfirmedFor > 0 && until.After(c.unconfirmedUntil) {
+				c.unconfirmedServer, c.unconfirmedUntil = answered.Records[0].Unconfirmed, until
 			}
 		}
 		merged := Merge(records)
@@ -324,10 +324,10 @@
 
 func (w *modelWorld) ask(name string, c *candidate, kind Kind) {
 	var out []Envelope
-	for _, entry := range c.table.Seats {
+	for _, entry := range c.table.Entries {
 		out = append(out, Envelope{entry.Address, Message{
-			Kind: kind, From: name, Life: w.incarnations[name], Era: c.table.Era, Service: modelService, Ballot: c.ballot,
-			Primary: c.target, Ordering: kind == Choose, Loose: kind == Open && c.unconfirmed,
+			Kind: kind, From: name, Incarnation: w.incarnations[name], Generation: c.table.Generation, Service: modelService, Ballot: c.ballot,
+			Primary: c.target, Ordering: kind == Choose, Unconfirmed: kind == Open && c.unconfirmed,
 		}})
 	}
 	w.send(name, out)
@@ -446,16 +446,16 @@
 func (w *modelWorld) changeGeneration() {
 	var newest *Table
 	for _, name := range w.names() {
-		if table := w.voters[name].Table(); newest == nil || table.Era > newest.Era {
+		if table := w.voters[name].Table(); newest == nil || table.Generation > newest.Generation {
 			newest = table
 		}
 	}
 	sealing := NewSealing(newest)
-	for _, entry := range newest.Seats {
+	for _, entry := range newest.Entries {
 		if !w.running(entry.Name) || !w.connected("store", entry.Name) {
 			continue
 		}
-		for _, request := range sealing.Questions("store", 1, 1) {
+		for _, request := range sealing.Requests("store", 1, 1) {
 			if request.To != entry.Name {
 				continue
 			}
@@ -468,10 +468,10 @@
 	if !ended {
 		return
 	}
-	w.logf("generation %d records %+v", newest.Era+1, records)
-	next := &Table{Era: newest.Era + 1, Records: records}
-	for _, entry := range newest.Seats {
-		next.Seats = append(next.Seats, Seat{Name: entry.Name, Address: entry.Name, Life: w.incarnations[entry.Name]})
+	w.logf("generation %d records %+v", newest.Generation+1, records)
+	next := &Table{Generation: newest.Generation + 1, Records: records}
+	for _, entry := range newest.Entries {
+		next.Entries = append(next.Entries, VoterEntry{Name: entry.Name, Address: entry.Name, Incarnation: w.incarnations[entry.Name]})
 	}
 	for _, name := range w.names() {
 		if w.running(name) && w.connected("store", name) {
@@ -523,7 +523,7 @@
 		out, _ := w.voters[name].Tick(w.now)
 		w.send(name, out)
 		w.acceptAnswers(name)
-		if c := w.campaign[name]; c != nil && w.now.Sub(c.since) > 2*LeaseSpan {
+		if c := w.campaign[name]; c != nil && w.now.Sub(c.since) > 2*LeaseDuration {
 			w.campaign[name] = nil
 		} else if c != nil && c.phase == "clear" {
 			w.ask(name, c, Prepare)
@@ -561,7 +561,7 @@
 	if w.between(0, 1) == 0 {
 		return w.members[name].Renewals(w.now)
 	}
-	out, _ := w.members[name].Due(w.now, Haste(w.between(int(Calm), int(Urgent))))
+	out, _ := w.members[name].Due(w.now, RenewalMode(w.between(int(RenewNormal), int(RenewRecovering))))
 	return out
 }
 
@@ -573,7 +573,7 @@
 func modelRuns(t *testing.T) uint64 {
 	t.Helper()
 	const defaultRuns = 150
-	return propertytest.Plays(t, "DEWKNOT_QUORUM_PLAYS", defaultRuns)
+	return propertytest.Runs(t, "DEWKNOT_QUORUM_PLAYS", defaultRuns)
 }
 
 // TestOnlyPrimaryAnswersAreAccepted guards against accepting an answer of a replaced primary under
--- a/internal/proxy/quorum/nearest.go
+++ b/internal/proxy/quorum/nearest.go
@@ -13,13 +13,13 @@
 
 // maxUsableRTT is the longest round-trip time at which leases renewed every RenewInterval do not
 // expire in between.
-const maxUsableRTT = LeaseSpan - RenewInterval
+const maxUsableRTT = LeaseDuration - RenewInterval
 
 // SetDistances sets the distances to voters by name. Voters that are left out are farthest.
 func (n *Member) SetDistances(distances map[string]int) { n.distances = distances }
 
-// Placed reports whether the distances to voters are known.
-func (n *Member) Placed() bool { return n.distances != nil }
+// HasDistances reports whether the distances to voters are known.
+func (n *Member) HasDistances() bool { return n.distances != nil }
 
 // failing reports whether a voter does not grant leases in time.
 func (p *peer) failing() bool {
@@ -28,8 +28,8 @@
 
 // idle returns the voters that get no renewals. A voter whose records are complete is not idle until
 // those of the nearest voters are complete as well.
-func (n *Member) idle(mode Haste) []*peer {
-	if n.distances == nil || n.table == nil || mode == Wide || mode == Urgent || n.table.Seat(n.name) != nil {
+func (n *Member) idle(mode RenewalMode) []*peer {
+	if n.distances == nil || n.table == nil || mode == RenewEagerAll || mode == RenewRecovering || n.table.VoterEntry(n.name) != nil {
 		return nil
 	}
 	ranked := slices.Clone(n.peers)
@@ -69,8 +69,8 @@
 	return hash.Sum64()
 }
 
-// KnownVoters returns the names of the voters whose records are complete.
-func (n *Member) KnownVoters() []string {
+// CompleteVoterNames returns the names of the voters whose records are complete.
+func (n *Member) CompleteVoterNames() []string {
 	var names []string
 	for _, p := range n.peers {
 		if !p.completeAt.IsZero() {
--- a/internal/proxy/quorum/outbox.go
+++ b/internal/proxy/quorum/outbox.go
@@ -28,7 +28,7 @@
 
 // maxPushBackoff bounds the delay before records are sent again. A recalled lease expires soon
 // after it.
-const maxPushBackoff = LeaseSpan / 2
+const maxPushBackoff = LeaseDuration / 2
 
 // outbox schedules the records to send to members. Each member has one message in flight, with all
 // records that it lacks; later changes go with the next one. So records that change together cost
@@ -149,9 +149,9 @@
 	m.Records, m.Revision, m.More = v.pageAfter(g.requestRevision, v.pageSize(name))
 	g.sequence = 0
 	if !m.More {
-		g.until, g.sentRevision = now.Add(LeaseSpan), max(g.sentRevision, m.Revision)
+		g.until, g.sentRevision = now.Add(LeaseDuration), max(g.sentRevision, m.Revision)
 	}
-	if len(m.Records) > 0 && v.table.Seat(name) == nil {
+	if len(m.Records) > 0 && v.table.VoterEntry(name) == nil {
 		m.Recall = !m.More
 		m.Records = trimRecords(m.Records)
 		v.markInFlight(now, g, len(m.Records))
@@ -163,7 +163,7 @@
 // member may hold a lease, for members that release one service per answer.
 func (v *Voter) push(now time.Time, name string, g *grant) Envelope {
 	m := v.newMessage(Push, &Message{})
-	m.Known, m.Recall, m.Sequence = g.sentRevision, true, v.uptimeMillis(now)
+	m.KnownRevision, m.Recall, m.Sequence = g.sentRevision, true, v.uptimeMillis(now)
 	m.Records, m.Revision, m.More = v.pageAfter(g.sentRevision, v.pageSize(name))
 	for i := range m.Records {
 		_, holdsLease := v.services[m.Records[i].Service].leaseHolders[name]
@@ -174,7 +174,7 @@
 			break
 		}
 	}
-	if v.table.Seat(name) == nil {
+	if v.table.VoterEntry(name) == nil {
 		m.Records = trimRecords(m.Records)
 	}
 	v.markInFlight(now, g, len(m.Records))
@@ -190,7 +190,7 @@
 
 // pageSize returns how many records one message to a member carries.
 func (v *Voter) pageSize(name string) int {
-	if v.table.Seat(name) != nil {
+	if v.table.VoterEntry(name) != nil {
 		return pageRecords
 	}
 	return memberPageRecords
@@ -217,26 +217,26 @@
 func (v *Voter) noteRequest(now time.Time, from string, m *Message) (*grant, []Envelope) {
 	g := v.grants[m.From]
 	if g == nil {
-		g = &grant{incarnation: m.Life}
+		g = &grant{incarnation: m.Incarnation}
 		v.grants[m.From] = g
 	}
-	if g.incarnation != m.Life {
+	if g.incarnation != m.Incarnation {
 		v.clearInFlight(g)
-		g.incarnation, g.ackedRevision, g.sentRevision, g.retries = m.Life, 0, 0, 0
+		g.incarnation, g.ackedRevision, g.sentRevision, g.retries = m.Incarnation, 0, 0, 0
 	}
-	g.address, g.sequence, g.requestRevision = from, m.Sequence, m.Known
-	if m.KnownLife != v.incarnation {
+	g.address, g.sequence, g.requestRevision = from, m.Sequence, m.KnownRevision
+	if m.KnownIncarnation != v.incarnation {
 		// The member knows no record of this incarnation.
 		g.ackedRevision, g.sentRevision, g.requestRevision = 0, 0, 0
 		return g, nil
 	}
-	return g, v.advanceAck(now, m.From, g, m.Known)
+	return g, v.advanceAck(now, m.From, g, m.KnownRevision)
 }
 
 // handleAck processes a member's answer to records.
 func (v *Voter) handleAck(now time.Time, m *Message) []Envelope {
 	g := v.grants[m.From]
-	if g == nil || g.incarnation != m.Life || m.KnownLife != v.incarnation || m.Revision <= g.ackedRevision {
+	if g == nil || g.incarnation != m.Incarnation || m.KnownIncarnation != v.incarnation || m.Revision <= g.ackedRevision {
 		// A member that cannot name its revision, or lacks earlier records, gets a retry later.
 		return nil
 	}
--- a/internal/proxy/quorum/outbox_test.go
+++ b/internal/proxy/quorum/outbox_test.go
@@ -26,7 +26,7 @@
 
 func newOutboxScenario(t *rapid.T) *outboxScenario {
 	s := &outboxScenario{t: t, now: at(2000), members: map[string]*Member{}, incarnations: map[string]uint64{}, ballot: 1}
-	s.table = &Table{Era: 1, Seats: []Seat{{Name: "v", Address: "v", Life: 1}}}
+	s.table = &Table{Generation: 1, Entries: []VoterEntry{{Name: "v", Address: "v", Incarnation: 1}}}
 	s.voter = NewVoter("v", 1, at(0))
 	s.voter.Install(at(0), s.table)
 	for i := range rapid.IntRange(1, 4).Draw(t, "members") {
@@ -78,7 +78,7 @@
 		service := fmt.Sprintf("s%d", rapid.IntRange(0, 15).Draw(s.t, "service"))
 		for _, kind := range []Kind{Prepare, Open} {
 			s.packets = append(s.packets, s.voter.Step(s.now, "x", &Message{
-				Kind: kind, From: "x", Life: 5, Era: 1, Service: service, Ballot: s.ballot, Primary: "a",
+				Kind: kind, From: "x", Incarnation: 5, Generation: 1, Service: service, Ballot: s.ballot, Primary: "a",
 			})...)
 		}
 	case 1:
@@ -98,7 +98,7 @@
 		out, _ := s.voter.Tick(s.now)
 		s.packets = append(s.packets, out...)
 	case 5:
-		out, _ := s.members[name].Due(s.now, Eager)
+		out, _ := s.members[name].Due(s.now, RenewEager)
 		s.packets = append(s.packets, out...)
 	default:
 		if len(s.packets) > 0 {
@@ -152,7 +152,7 @@
 // leaves a member without records, or sends a message for each service.
 func TestRecordsInFlightAreBounded(t *testing.T) {
 	const members = 400
-	table := &Table{Era: 1, Seats: []Seat{{Name: "v", Address: "v", Life: 1}}}
+	table := &Table{Generation: 1, Entries: []VoterEntry{{Name: "v", Address: "v", Incarnation: 1}}}
 	voter := NewVoter("v", 1, at(0))
 	voter.Install(at(0), table)
 	fleet := map[string]*Member{}
@@ -178,7 +178,7 @@
 		name := fmt.Sprintf("m%d", i)
 		fleet[name] = NewMember(name, 1, at(0))
 		fleet[name].SetTable(at(0), table)
-		out, _ := fleet[name].Due(at(2000), Calm)
+		out, _ := fleet[name].Due(at(2000), RenewNormal)
 		// The address of a member is its name.
 		packets = append(packets, voter.Step(at(2000), name, &out[0].Message)...)
 	}
@@ -186,7 +186,7 @@
 	for i := range 10 {
 		for _, kind := range []Kind{Prepare, Open} {
 			packets = append(packets, voter.Step(at(2010), "x", &Message{
-				Kind: kind, From: "x", Life: 5, Era: 1, Service: fmt.Sprintf("s%d", i), Ballot: 2, Primary: "a",
+				Kind: kind, From: "x", Incarnation: 5, Generation: 1, Service: fmt.Sprintf("s%d", i), Ballot: 2, Primary: "a",
 			})...)
 		}
 	}
@@ -209,7 +209,7 @@
 // does.
 func BenchmarkPage(b *testing.B) {
 	voter := NewVoter("v", 1, at(0))
-	voter.Install(at(0), &Table{Era: 1, Seats: []Seat{{Name: "v", Life: 1}}})
+	voter.Install(at(0), &Table{Generation: 1, Entries: []VoterEntry{{Name: "v", Incarnation: 1}}})
 	for i := range 600 {
 		voter.markChanged(voter.serviceState(fmt.Sprintf("s%d", i)))
 	}
--- a/internal/proxy/quorum/pacer.go
+++ b/internal/proxy/quorum/pacer.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// Haste determines how soon a member sends its next requests to voters.
-type Haste uint8
+// RenewalMode determines how soon a member sends its next requests to voters.
+type RenewalMode uint8
 
 const (
-	// Calm renews leases before they expire.
-	Calm Haste = iota
-	// Eager is used while something waits for leases or records.
-	Eager
-	// Wide is used like the previous mode, but sends to all voters because the nearest ones do
+	// RenewNormal renews leases before they expire.
+	RenewNormal RenewalMode = iota
+	// RenewEager is used while something waits for leases or records.
+	RenewEager
+	// RenewEagerAll is used like the previous mode, but sends to all voters because the nearest ones do
 	// not suffice.
-	Wide
-	// Urgent is used by a voter that needs the records of the other voters, at most four, to
+	RenewEagerAll
+	// RenewRecovering is used by a voter that needs the records of the other voters, at most four, to
 	// recover.
-	Urgent
+	RenewRecovering
 )
 
 const (
@@ -69,7 +69,7 @@
 }
 
 // due returns when the next request to the voter is due.
-func (p *peer) due(mode Haste) time.Time {
+func (p *peer) due(mode RenewalMode) time.Time {
 	limit, incomplete := RenewInterval, p.completeAt.IsZero()
 	if incomplete {
 		limit = maxInitialPause
@@ -79,9 +79,9 @@
 		return p.lastSentAt
 	case p.waiting:
 		return p.lastSentAt.Add(p.rtt.timeout(p.misses, limit))
-	case mode == Urgent:
+	case mode == RenewRecovering:
 		return p.lastSentAt.Add(urgentPause)
-	case mode == Eager || mode == Wide || incomplete:
+	case mode == RenewEager || mode == RenewEagerAll || incomplete:
 		return p.lastSentAt.Add(backoff(eagerPause, p.emptyAnswers, limit))
 	default:
 		return p.lastSentAt.Add(RenewInterval)
--- a/internal/proxy/quorum/pacer_test.go
+++ b/internal/proxy/quorum/pacer_test.go
@@ -9,7 +9,7 @@
 
 // countRequests simulates one second of a member that polls every 5 ms, with a voter that answers
 // after rtt if at all, and returns the number of requests.
-func countRequests(mode Haste, rtt time.Duration, answers bool) int {
+func countRequests(mode RenewalMode, rtt time.Duration, answers bool) int {
 	p := &peer{}
 	var sent []time.Time
 	var due []time.Time
@@ -33,42 +33,42 @@
 // TestRequestsSlowDownWithLateAnswers guards against frequent requests to a voter whose answers are
 // late or missing.
 func TestRequestsSlowDownWithLateAnswers(t *testing.T) {
-	fast, slow := countRequests(Eager, 20*time.Millisecond, true), countRequests(Eager, 700*time.Millisecond, true)
-	silent, calm := countRequests(Eager, 0, false), countRequests(Calm, 700*time.Millisecond, true)
+	fast, slow := countRequests(RenewEager, 20*time.Millisecond, true), countRequests(RenewEager, 700*time.Millisecond, true)
+	silent, calm := countRequests(RenewEager, 0, false), countRequests(RenewNormal, 700*time.Millisecond, true)
 	t.Logf("requests per second: %d at 20 ms, %d at 700 ms, %d without answers, %d calm at 700 ms", fast, slow, silent, calm)
 	must.Between(t, 5, fast, 7)
 	must.LessEq(t, 4, slow)
 	must.LessEq(t, 4, silent)
 	must.LessEq(t, 4, calm)
-	must.LessEq(t, 27, countRequests(Urgent, 20*time.Millisecond, true))
+	must.LessEq(t, 27, countRequests(RenewRecovering, 20*time.Millisecond, true))
 }
 
 // TestRequestTimeoutFollowsRTT guards against repeating a request, or reporting a voter as silent,
 // before an answer can arrive.
 func TestRequestTimeoutFollowsRTT(t *testing.T) {
-	p := &peer{entry: Seat{Name: "v"}, heardAt: at(0), contacted: true}
+	p := &peer{entry: VoterEntry{Name: "v"}, heardAt: at(0), contacted: true}
 	for i := range 20 {
 		p.requestSent(at(1000 * i))
 		p.answerReceived(at(1000*i+500), at(1000*i), true)
 	}
 	p.requestSent(at(20_000))
-	must.True(t, p.due(Eager).After(at(20_500)))
-	must.False(t, p.due(Eager).After(at(20_000).Add(RenewInterval)))
+	must.True(t, p.due(RenewEager).After(at(20_500)))
+	must.False(t, p.due(RenewEager).After(at(20_000).Add(RenewInterval)))
 	n := &Member{peers: []*peer{p}}
 	p.heardAt = at(20_000)
-	must.SliceEmpty(t, n.Silent(at(21_500), 1500*time.Millisecond, time.Second))
-	must.Len(t, 1, n.Silent(at(23_000), 1500*time.Millisecond, time.Second))
+	must.SliceEmpty(t, n.SilentVoters(at(21_500), 1500*time.Millisecond, time.Second))
+	must.Len(t, 1, n.SilentVoters(at(23_000), 1500*time.Millisecond, time.Second))
 }
 
 // TestMajorityWithLowestRTTIsRenewed guards against renewing leases with distant voters, and against
 // a gap in coverage when a near voter stops answering.
 func TestMajorityWithLowestRTTIsRenewed(t *testing.T) {
-	table := &Table{Era: 1}
+	table := &Table{Generation: 1}
 	voters := map[string]*Voter{}
 	for i, name := range []string{"far0", "far1", "near0", "near1", "near2"} {
-		table.Seats = append(table.Seats, Seat{Name: name, Address: name, Life: uint64(i + 1)})
+		table.Entries = append(table.Entries, VoterEntry{Name: name, Address: name, Incarnation: uint64(i + 1)})
 	}
-	for i, entry := range table.Seats {
+	for i, entry := range table.Entries {
 		voters[entry.Name] = NewVoter(entry.Name, uint64(i+1), at(0))
 		voters[entry.Name].Install(at(0), table)
 		voters[entry.Name].begin(at(0), []Record{openRecord()})
@@ -83,7 +83,7 @@
 			n.Step(now, reply.Message.From, &reply.Message)
 		}
 		delete(due, now)
-		out, _ := n.Due(now, Calm)
+		out, _ := n.Due(now, RenewNormal)
 		for _, request := range out {
 			requests[request.To]++
 			rtt := time.Millisecond
--- a/internal/proxy/quorum/quorum.go
+++ b/internal/proxy/quorum/quorum.go
@@ -8,7 +8,7 @@
 // under one ballot. Two operations need a majority of voters, and any two majorities share
 // a voter:
 //
-//   - a lease to use the primary of an open tenure, for LeaseSpan from the time the
+//   - a lease to use the primary of an open tenure, for LeaseDuration from the time the
 //     request was sent (Member);
 //   - a change of the primary: a candidate prepares a ballot, which closes the tenure and
 //     recalls its leases, chooses a target, and orders the promotion once a majority of
@@ -20,7 +20,7 @@
 //
 // Voters keep no state on disk. A restarted voter takes part only after it has copied the
 // records of a majority of voters, itself not counted, and assumes that unknown leases are
-// held for LeaseSpan. If a majority has lost its state, or a voter is gone permanently, the
+// held for LeaseDuration. If a majority has lost its state, or a voter is gone permanently, the
 // table moves to its next generation. A majority of the old generation is sealed first, so
 // that nothing is decided in two generations.
 package quorum
@@ -36,13 +36,13 @@
 const generationShift = 40
 
 // LeastBallot returns the lowest ballot of the table's generation.
-func (t *Table) LeastBallot() uint64 { return t.Era << generationShift }
+func (t *Table) LeastBallot() uint64 { return t.Generation << generationShift }
 
 // Durations and sizes of the protocol.
 const (
-	// LeaseSpan is the duration of a lease. It bounds the wait for nodes that do not answer a
+	// LeaseDuration is the duration of a lease. It bounds the wait for nodes that do not answer a
 	// recall, and must be long enough to survive a few lost renewals.
-	LeaseSpan = 1200 * time.Millisecond
+	LeaseDuration = 1200 * time.Millisecond
 	// RenewInterval is the interval between renewals. Two of five voters' answers may be lost.
 	// A request that finds its leases expired asks for new ones immediately.
 	RenewInterval = 800 * time.Millisecond
@@ -55,18 +55,18 @@
 	OrderWindow     = 700 * time.Millisecond
 	// RecallInterval is the minimum delay before an unanswered recall is repeated.
 	RecallInterval = 80 * time.Millisecond
-	// CountSpan is how long a candidate counts the answers to one request. A restarted voter
+	// AnswerWindow is how long a candidate counts the answers to one request. A restarted voter
 	// accepts records of other voters only from this process age on: by then no answer of its
 	// previous incarnation is counted any more, and the other voters know what was decided.
-	CountSpan = 200 * time.Millisecond
-	// LostSpan is the process age from which voters without state may end a generation in
+	AnswerWindow = 200 * time.Millisecond
+	// StateLossAge is the process age from which voters without state may end a generation in
 	// which a majority has lost its state: no answer of their previous incarnations is
 	// counted any more. An order still in flight is then recorded in its sender's lease.
-	LostSpan = CountSpan
+	StateLossAge = AnswerWindow
 	// MaxVoters is the maximum number of voters in a table. Two of five may fail.
 	MaxVoters = 5
-	// LooseSpan is how long an unconfirmed order may still be carried out.
-	LooseSpan = 6 * time.Second
+	// UnconfirmedWindow is how long an unconfirmed order may still be carried out.
+	UnconfirmedWindow = 6 * time.Second
 	// pageRecords is how many records one message carries: about a kilobyte, which fits into
 	// a datagram. memberPageRecords is the limit for members that are not voters; their
 	// records have fewer fields.
@@ -82,8 +82,8 @@
 
 // Candidate is a process that tries to change a primary.
 type Candidate struct {
-	Name string `json:"name"`
-	Life uint64 `json:"life"`
+	Name        string `json:"name"`
+	Incarnation uint64 `json:"life"`
 }
 
 // Record is a voter's record of a service.
@@ -104,9 +104,9 @@
 	// Term is the highest log term in which a primary of an open tenure led. A server that
 	// claims to lead in an older term has been replaced.
 	Term uint64 `json:"term,omitempty"`
-	// Loose is the server of an unconfirmed order, which may be carried out again within
-	// LooseSpan of the opening of its tenure.
-	Loose string `json:"loose,omitempty"`
+	// Unconfirmed is the server of an unconfirmed order, which may be carried out again within
+	// UnconfirmedWindow of the opening of its tenure.
+	Unconfirmed string `json:"loose,omitempty"`
 }
 
 // merge combines two records of one service. Merging the records of a majority of voters
@@ -125,7 +125,7 @@
 		merged.Open = a.Open || b.Open
 	}
 	merged.Term = max(a.Term, b.Term)
-	merged.Loose = max(a.Loose, b.Loose)
+	merged.Unconfirmed = max(a.Unconfirmed, b.Unconfirmed)
 	merged.Open = merged.Open && merged.Chosen.Ballot == merged.Promised
 	return merged
 }
@@ -159,20 +159,20 @@
 	return merged
 }
 
-// Seat is a voter's entry in a table.
-type Seat struct {
+// VoterEntry is a voter's entry in a table.
+type VoterEntry struct {
 	Name    string `json:"name"`
 	Address string `json:"address"`
-	// Life is unique to the process that starts the generation with the table's records. A
+	// Incarnation is unique to the process that starts the generation with the table's records. A
 	// later process of the same name recovers from the other voters.
-	Life uint64 `json:"life"`
+	Incarnation uint64 `json:"life"`
 }
 
 // Table lists the voters of a generation. It is kept in the durable store.
 type Table struct {
-	// Era increases with each table.
-	Era   uint64 `json:"era"`
-	Seats []Seat `json:"seats"`
+	// Generation increases with each table.
+	Generation uint64       `json:"era"`
+	Entries    []VoterEntry `json:"seats"`
 	// StoreEra is the era of the store in which the table was written. A store restored from
 	// an older copy of itself has lost tables of its earlier era.
 	StoreEra uint64 `json:"store_era,omitempty"`
@@ -187,38 +187,38 @@
 // store and one to the voters.
 const generationsPerStoreEra = 64
 
-// NextEra returns the number of the generation after this table, which may be nil, when it is
+// NextGeneration returns the number of the generation after this table, which may be nil, when it is
 // written in storeEra. No table that the store has lost had that number: two tables of one
 // number could list different voters.
-func (t *Table) NextEra(storeEra uint64) uint64 {
+func (t *Table) NextGeneration(storeEra uint64) uint64 {
 	if t == nil {
 		return 1 + generationsPerStoreEra*storeEra
 	}
-	return t.Era + 1 + generationsPerStoreEra*(max(storeEra, t.StoreEra)-t.StoreEra)
+	return t.Generation + 1 + generationsPerStoreEra*(max(storeEra, t.StoreEra)-t.StoreEra)
 }
 
 // Majority returns the number of voters needed for a decision.
-func (t *Table) Majority() int { return len(t.Seats)/2 + 1 }
+func (t *Table) Majority() int { return len(t.Entries)/2 + 1 }
 
-// Seat returns the entry of a voter, or nil if the node is not a voter.
-func (t *Table) Seat(name string) *Seat {
-	for i := range t.Seats {
-		if t.Seats[i].Name == name {
-			return &t.Seats[i]
+// VoterEntry returns the entry of a voter, or nil if the node is not a voter.
+func (t *Table) VoterEntry(name string) *VoterEntry {
+	for i := range t.Entries {
+		if t.Entries[i].Name == name {
+			return &t.Entries[i]
 		}
 	}
 	return nil
 }
 
-// Whole reports whether the table contains all its records.
-func (t *Table) Whole() bool { return len(t.Records) == t.Count }
+// Complete reports whether the table contains all its records.
+func (t *Table) Complete() bool { return len(t.Records) == t.Count }
 
-// Told returns the table to send to a node. It contains the records only if they are few and
+// ForNode returns the table to send to a node. It contains the records only if they are few and
 // the node is a voter, which starts the generation with them. Otherwise the node reads them
 // from the store.
-func (t *Table) Told(name string) *Table {
-	if len(t.Records) == 0 || (len(t.Records) <= pageRecords && t.Seat(name) != nil) {
+func (t *Table) ForNode(name string) *Table {
+	if len(t.Records) == 0 || (len(t.Records) <= pageRecords && t.VoterEntry(name) != nil) {
 		return t
 	}
-	return &Table{Era: t.Era, Seats: t.Seats, StoreEra: t.StoreEra, Count: t.Count}
+	return &Table{Generation: t.Generation, Entries: t.Entries, StoreEra: t.StoreEra, Count: t.Count}
 }
--- a/internal/proxy/quorum/quorum_test.go
+++ b/internal/proxy/quorum/quorum_test.go
@@ -24,9 +24,9 @@
 var groupNames = []string{"v0", "v1", "v2"}
 
 func newGroup(records ...Record) *group {
-	g := &group{table: &Table{Era: 1, Records: records}}
+	g := &group{table: &Table{Generation: 1, Records: records}}
 	for i, name := range groupNames {
-		g.table.Seats = append(g.table.Seats, Seat{Name: name, Address: name, Life: uint64(i + 1)})
+		g.table.Entries = append(g.table.Entries, VoterEntry{Name: name, Address: name, Incarnation: uint64(i + 1)})
 	}
 	for i, name := range groupNames {
 		voter := NewVoter(name, uint64(i+1), at(0))
@@ -67,7 +67,7 @@
 
 func (g *group) ask(voter, now int, kind Kind, from string, ballot uint64, primary string) []Envelope {
 	return g.voters[voter].Step(at(now), from, &Message{
-		Kind: kind, From: from, Life: 5, Era: 1, Sequence: 77, Service: "s", Ballot: ballot, Primary: primary, Ordering: kind == Choose,
+		Kind: kind, From: from, Incarnation: 5, Generation: 1, Sequence: 77, Service: "s", Ballot: ballot, Primary: primary, Ordering: kind == Choose,
 	})
 }
 
@@ -80,7 +80,7 @@
 }
 
 // TestLeasesNeedMajority guards against coverage by fewer than two of three voters, or beyond
-// LeaseSpan after the request was sent.
+// LeaseDuration after the request was sent.
 func TestLeasesNeedMajority(t *testing.T) {
 	g := newGroup(openRecord())
 	g.renew(t, 2000, 0)
@@ -89,7 +89,7 @@
 	view := g.member.View("s")
 	must.Eq(t, Tenure{1, "a"}, view.Tenure)
 	must.True(t, view.Covers(at(2100)))
-	last := 2100 + int((LeaseSpan-clockMargin)/time.Millisecond)
+	last := 2100 + int((LeaseDuration-clockMargin)/time.Millisecond)
 	must.True(t, view.Covers(at(last-1)))
 	must.False(t, view.Covers(at(last)))
 	// The third voter forms a majority with either of the others.
@@ -118,7 +118,7 @@
 	again, waiting := g.voters[1].Tick(at(2200))
 	must.True(t, waiting)
 	must.Eq(t, []Kind{Push}, kinds(again))
-	ended, _ := g.voters[1].Tick(at(2000 + int(LeaseSpan/time.Millisecond)))
+	ended, _ := g.voters[1].Tick(at(2000 + int(LeaseDuration/time.Millisecond)))
 	must.Eq(t, []Kind{Cleared}, kinds(ended))
 }
 
@@ -166,7 +166,7 @@
 	g := newGroup(openRecord())
 	must.Eq(t, []Kind{Promised}, kinds(g.ask(0, 2000, Prepare, "x", 5, "")))
 	must.Eq(t, []Kind{Promised}, kinds(g.ask(0, 2001, Prepare, "x", 5, "")))
-	later := g.voters[0].Step(at(2002), "x", &Message{Kind: Prepare, From: "x", Life: 6, Era: 1, Service: "s", Ballot: 5})
+	later := g.voters[0].Step(at(2002), "x", &Message{Kind: Prepare, From: "x", Incarnation: 6, Generation: 1, Service: "s", Ballot: 5})
 	must.Eq(t, []Kind{Denied}, kinds(later))
 	must.Eq(t, 5, later[0].Message.Ballot)
 	must.Eq(t, []Kind{Denied}, kinds(g.ask(0, 2003, Prepare, "y", 6, "")))
@@ -183,7 +183,7 @@
 	restarted := NewVoter("v0", 50, at(3000))
 	restarted.Install(at(3000), g.table)
 	must.True(t, restarted.Recovering())
-	request := &Message{Kind: Renew, From: "m", Era: 1}
+	request := &Message{Kind: Renew, From: "m", Generation: 1}
 	must.Eq(t, []Kind{Unable}, kinds(restarted.Step(at(3001), "m", request)))
 	one := [][]Record{{openRecord()}}
 	must.False(t, restarted.Recover(at(3300), 1, one))
@@ -191,7 +191,7 @@
 	g.voters[0] = restarted
 	out := g.ask(0, 3301, Prepare, "x", 2, "")
 	must.False(t, out[0].Message.Clear)
-	out = g.ask(0, 3300+int(LeaseSpan/time.Millisecond), Prepare, "x", 2, "")
+	out = g.ask(0, 3300+int(LeaseDuration/time.Millisecond), Prepare, "x", 2, "")
 	must.True(t, out[0].Message.Clear)
 }
 
@@ -206,7 +206,7 @@
 	restarted.SetTable(at(2000), g.table)
 	restarted.Renewals(at(2102))
 	restarted.Step(at(2103), "v0", &reply[0].Message)
-	must.Eq(t, 0, restarted.Whole())
+	must.Eq(t, 0, restarted.CompleteVoters())
 	must.Nil(t, restarted.View("s"))
 }
 
@@ -229,7 +229,7 @@
 				must.Eq(t, 4, pages)
 				break
 			}
-			must.Eq(t, i, g.member.Whole())
+			must.Eq(t, i, g.member.CompleteVoters())
 			request = out[0]
 		}
 	}
@@ -248,7 +248,7 @@
 	g.ask(1, 2001, Choose, "x", 2, "b")
 	sealing := NewSealing(g.table)
 	seal := func(i int) {
-		requests := sealing.Questions("k", 1, 1)
+		requests := sealing.Requests("k", 1, 1)
 		for _, envelope := range requests {
 			if envelope.To == groupNames[i] {
 				for _, reply := range g.voters[i].Step(at(2100), "k", &envelope.Message) {
@@ -275,8 +275,8 @@
 		lost.voters[i].Install(at(5000), lost.table)
 	}
 	sealing = NewSealing(lost.table)
-	for _, age := range []int{int(LostSpan/time.Millisecond) - 1, int(LostSpan / time.Millisecond)} {
-		for _, envelope := range sealing.Questions("k", 1, 1) {
+	for _, age := range []int{int(StateLossAge/time.Millisecond) - 1, int(StateLossAge / time.Millisecond)} {
+		for _, envelope := range sealing.Requests("k", 1, 1) {
 			for i, name := range groupNames[:2] {
 				if name == envelope.To {
 					for _, reply := range lost.voters[i].Step(at(5000+age), "k", &envelope.Message) {
@@ -286,7 +286,7 @@
 			}
 		}
 		records, ended = sealing.Outcome()
-		must.Eq(t, age == int(LostSpan/time.Millisecond), ended)
+		must.Eq(t, age == int(StateLossAge/time.Millisecond), ended)
 	}
 	must.False(t, records[0].Open)
 	must.Eq(t, Tenure{}, records[0].Chosen)
--- a/internal/proxy/quorum/sealing.go
+++ b/internal/proxy/quorum/sealing.go
@@ -43,11 +43,11 @@
 	}
 }
 
-// Questions returns requests to the voters whose records are incomplete, and to those without
+// Requests returns requests to the voters whose records are incomplete, and to those without
 // state for their process age.
-func (s *Sealing) Questions(from string, incarnation, sequence uint64) []Envelope {
+func (s *Sealing) Requests(from string, incarnation, sequence uint64) []Envelope {
 	var out []Envelope
-	for _, entry := range s.table.Seats {
+	for _, entry := range s.table.Entries {
 		if state := s.states[entry.Name]; state == nil || !state.complete || !state.normal {
 			out = append(out, s.request(&entry, from, incarnation, sequence))
 		}
@@ -56,18 +56,18 @@
 }
 
 // request requests the pages after those that a voter has sent.
-func (s *Sealing) request(entry *Seat, from string, incarnation, sequence uint64) Envelope {
-	request := Message{Kind: Seal, From: from, Life: incarnation, Era: s.table.Era, Sequence: sequence, More: true}
+func (s *Sealing) request(entry *VoterEntry, from string, incarnation, sequence uint64) Envelope {
+	request := Message{Kind: Seal, From: from, Incarnation: incarnation, Generation: s.table.Generation, Sequence: sequence, More: true}
 	if state := s.states[entry.Name]; state != nil {
-		request.Known, request.KnownLife = state.revision, state.incarnation
+		request.KnownRevision, request.KnownIncarnation = state.revision, state.incarnation
 		state.awaitedPages = pagesPerSealRequest
 	}
 	return Envelope{entry.Address, request}
 }
 
-// Next returns a request for more pages if the answer just taken was the last to its request.
-func (s *Sealing) Next(m *Message, from string, incarnation, sequence uint64) []Envelope {
-	state, entry := s.states[m.From], s.table.Seat(m.From)
+// NextRequests returns a request for more pages if the answer just taken was the last to its request.
+func (s *Sealing) NextRequests(m *Message, from string, incarnation, sequence uint64) []Envelope {
+	state, entry := s.states[m.From], s.table.VoterEntry(m.From)
 	if state == nil || state.complete || state.awaitedPages > 0 {
 		return nil
 	}
@@ -76,16 +76,16 @@
 
 // Take processes a voter's answer and reports whether it made progress.
 func (s *Sealing) Take(m *Message) bool {
-	if m.Kind != Sealed || m.Era != s.table.Era || s.table.Seat(m.From) == nil {
+	if m.Kind != Sealed || m.Generation != s.table.Generation || s.table.VoterEntry(m.From) == nil {
 		return false
 	}
 	state := s.states[m.From]
-	if state == nil || state.incarnation != m.Life {
-		state = &sealedState{incarnation: m.Life, records: map[string]Record{}, awaitedPages: pagesPerSealRequest}
+	if state == nil || state.incarnation != m.Incarnation {
+		state = &sealedState{incarnation: m.Incarnation, records: map[string]Record{}, awaitedPages: pagesPerSealRequest}
 		s.states[m.From] = state
 	}
 	state.age, state.normal = m.Age, m.Normal
-	if m.Known > state.revision || m.Revision < state.revision {
+	if m.KnownRevision > state.revision || m.Revision < state.revision {
 		// An earlier page was lost, or this one is late.
 		return false
 	}
@@ -100,8 +100,8 @@
 	return progress
 }
 
-// Told returns the number of records received from each voter that has answered.
-func (s *Sealing) Told() map[string]int {
+// RecordCounts returns the number of records received from each voter that has answered.
+func (s *Sealing) RecordCounts() map[string]int {
 	counts := map[string]int{}
 	for name, state := range s.states {
 		counts[name] = len(state.records)
@@ -119,14 +119,14 @@
 		switch {
 		case state.normal && state.complete:
 			recordSets = append(recordSets, state.list())
-		case !state.normal && state.age >= LostSpan:
+		case !state.normal && state.age >= StateLossAge:
 			lost++
 		}
 	}
 	if len(recordSets) >= s.table.Majority() {
 		return MergeAll(recordSets), true
 	}
-	if len(s.table.Seats)-lost >= s.table.Majority() || len(recordSets)+lost < s.table.Majority() {
+	if len(s.table.Entries)-lost >= s.table.Majority() || len(recordSets)+lost < s.table.Majority() {
 		return nil, false
 	}
 	return s.remainingRecords(recordSets), true
--- a/internal/proxy/quorum/sealing_test.go
+++ b/internal/proxy/quorum/sealing_test.go
@@ -26,7 +26,7 @@
 func TestSealingCollectsAllRecords(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		records := rapid.IntRange(0, 5*pagesPerSealRequest*pageRecords).Draw(t, "records")
-		table := &Table{Era: 1, Seats: []Seat{{Name: "v0", Address: "v0", Life: 1}}}
+		table := &Table{Generation: 1, Entries: []VoterEntry{{Name: "v0", Address: "v0", Incarnation: 1}}}
 		v := newSealedVoter(table, records)
 		s := NewSealing(table)
 		var packets []Envelope
@@ -36,7 +36,7 @@
 				if rapid.IntRange(0, 19).Draw(t, "attempt") == 0 {
 					s.Resume()
 				}
-				packets = append(packets, s.Questions("n", 7, 1)...)
+				packets = append(packets, s.Requests("n", 7, 1)...)
 			}
 			index := rapid.IntRange(0, min(len(packets)-1, 20)).Draw(t, "place")
 			packet := packets[index]
@@ -51,7 +51,7 @@
 			default:
 				s.Take(&packet.Message)
 				collected, ended = s.Outcome()
-				packets = append(packets, s.Next(&packet.Message, "n", 7, 1)...)
+				packets = append(packets, s.NextRequests(&packet.Message, "n", 7, 1)...)
 			}
 		}
 		must.True(t, ended)
@@ -63,16 +63,16 @@
 // pages when no message is lost.
 func TestSealingNeedsFewRoundTrips(t *testing.T) {
 	const records = 820
-	table := &Table{Era: 1, Seats: []Seat{{Name: "v0", Address: "v0", Life: 1}}}
+	table := &Table{Generation: 1, Entries: []VoterEntry{{Name: "v0", Address: "v0", Incarnation: 1}}}
 	v := newSealedVoter(table, records)
 	s := NewSealing(table)
 	rounds := 0
-	for requests := s.Questions("n", 7, 1); len(requests) > 0; rounds++ {
+	for requests := s.Requests("n", 7, 1); len(requests) > 0; rounds++ {
 		answers := v.Step(at(1), "n", &requests[0].Message)
 		requests = nil
 		for i := range answers {
 			s.Take(&answers[i].Message)
-			requests = append(requests, s.Next(&answers[i].Message, "n", 7, 1)...)
+			requests = append(requests, s.NextRequests(&answers[i].Message, "n", 7, 1)...)
 		}
 	}
 	collected, ended := s.Outcome()
@@ -80,5 +80,5 @@
 	must.Len(t, records, collected)
 	must.LessEq(t, records/(pagesPerSealRequest*pageRecords)+1, rounds)
 	// A request without More gets one page, for nodes of earlier versions.
-	must.Len(t, 1, v.Step(at(1), "n", &Message{Kind: Seal, From: "n", Era: 1}))
+	must.Len(t, 1, v.Step(at(1), "n", &Message{Kind: Seal, From: "n", Generation: 1}))
 }
--- a/internal/proxy/quorum/voter.go
+++ b/internal/proxy/quorum/voter.go
@@ -91,17 +91,17 @@
 // Install replaces the table with a newer one. A table without records may only be given to nodes
 // that do not start the generation with them.
 func (v *Voter) Install(now time.Time, table *Table) {
-	if v.table != nil && table.Era <= v.table.Era {
+	if v.table != nil && table.Generation <= v.table.Generation {
 		return
 	}
 	v.table = table
 	v.changes = nil
 	v.services, v.grants, v.outbox = map[string]*serviceState{}, map[string]*grant{}, outbox{rtt: v.outbox.rtt}
-	entry := table.Seat(v.name)
+	entry := table.VoterEntry(v.name)
 	switch {
 	case entry == nil:
 		v.status = absent
-	case entry.Life == v.incarnation:
+	case entry.Incarnation == v.incarnation:
 		v.begin(now, table.Records)
 	default:
 		v.status = recovering
@@ -111,22 +111,22 @@
 // begin starts to take part with records that contain everything that was decided.
 func (v *Voter) begin(now time.Time, records []Record) {
 	v.status = normal
-	v.unknownLeasesUntil = now.Add(LeaseSpan)
+	v.unknownLeasesUntil = now.Add(LeaseDuration)
 	for _, record := range records {
-		state := &serviceState{Record: record, unconfirmedUntil: now.Add(LooseSpan)}
+		state := &serviceState{Record: record, unconfirmedUntil: now.Add(UnconfirmedWindow)}
 		v.services[record.Service] = state
 		v.markChanged(state)
 	}
 }
 
 // RecoversAfter returns the time from which records of other voters may be used to recover.
-func (v *Voter) RecoversAfter() time.Time { return v.started.Add(CountSpan) }
+func (v *Voter) RecoversAfter() time.Time { return v.started.Add(AnswerWindow) }
 
 // Recover installs the records of other voters of the generation. Each set must be complete and
 // answer a request sent after RecoversAfter. A majority without this voter is needed: it shares a
 // voter with the majority of any earlier decision in which this voter took part.
 func (v *Voter) Recover(now time.Time, generation uint64, recordSets [][]Record) bool {
-	if v.status != recovering || generation != v.table.Era || len(recordSets) < v.table.Majority() {
+	if v.status != recovering || generation != v.table.Generation || len(recordSets) < v.table.Majority() {
 		return false
 	}
 	v.begin(now, MergeAll(recordSets))
@@ -135,7 +135,7 @@
 
 // Step processes a message from the node at an address.
 func (v *Voter) Step(now time.Time, from string, m *Message) []Envelope {
-	if v.table == nil || m.Era != v.table.Era {
+	if v.table == nil || m.Generation != v.table.Generation {
 		return v.replyUnable(now, from, m)
 	}
 	if m.Kind == Seal {
@@ -161,9 +161,9 @@
 }
 
 func (v *Voter) newMessage(kind Kind, m *Message) Message {
-	reply := Message{Kind: kind, From: v.name, Life: v.incarnation, Sequence: m.Sequence, Service: m.Service, Ballot: m.Ballot}
+	reply := Message{Kind: kind, From: v.name, Incarnation: v.incarnation, Sequence: m.Sequence, Service: m.Service, Ballot: m.Ballot}
 	if v.table != nil {
-		reply.Era = v.table.Era
+		reply.Generation = v.table.Generation
 	}
 	return reply
 }
@@ -174,8 +174,8 @@
 	}
 	reply := v.newMessage(Unable, m)
 	reply.Age, reply.Normal = v.Age(now), v.status == normal
-	if v.table != nil && v.table.Era > m.Era {
-		reply.Table = v.table.Told(m.From)
+	if v.table != nil && v.table.Generation > m.Generation {
+		reply.Table = v.table.ForNode(m.From)
 	}
 	return []Envelope{{from, reply}}
 }
@@ -184,7 +184,7 @@
 // with records is queued; other voters may need the records to recover and get it immediately.
 func (v *Voter) renew(now time.Time, from string, m *Message) []Envelope {
 	g, out := v.noteRequest(now, from, m)
-	if g.requestRevision < v.revision && v.table.Seat(m.From) == nil {
+	if g.requestRevision < v.revision && v.table.VoterEntry(m.From) == nil {
 		v.enqueue(m.From, g)
 		return append(out, v.sendQueued(now)...)
 	}
@@ -255,8 +255,8 @@
 	reply := v.newMessage(Promised, m)
 	reply.Records = []Record{state.Record}
 	reply.Clear = v.clear(now, state)
-	if state.Loose != "" {
-		reply.LooseFor = max(0, state.unconfirmedUntil.Sub(now))
+	if state.Unconfirmed != "" {
+		reply.UnconfirmedFor = max(0, state.unconfirmedUntil.Sub(now))
 	}
 	// Answer first: the candidate waits, and counts answers for a short time only.
 	return append([]Envelope{{from, reply}}, v.sendQueued(now)...)
@@ -352,8 +352,8 @@
 	if !state.Open {
 		state.Chosen, state.Open, state.Ordering = tenure, true, false
 		state.Term = max(state.Term, m.Term)
-		if m.Loose {
-			state.Loose, state.unconfirmedUntil = m.Primary, now.Add(LooseSpan)
+		if m.Unconfirmed {
+			state.Unconfirmed, state.unconfirmedUntil = m.Primary, now.Add(UnconfirmedWindow)
 		}
 		v.markChanged(state)
 		v.queuePush(now, false)
@@ -372,8 +372,8 @@
 		return []Envelope{{from, reply}}
 	}
 	reply.Normal = true
-	after := m.Known
-	if m.KnownLife != v.incarnation {
+	after := m.KnownRevision
+	if m.KnownIncarnation != v.incarnation {
 		after = 0
 	}
 	pages := 1
@@ -382,7 +382,7 @@
 	}
 	var out []Envelope
 	for more := true; more && len(out) < pages; after = reply.Revision {
-		reply.Known = after
+		reply.KnownRevision = after
 		reply.Records, reply.Revision, reply.More = v.pageAfter(after, pageRecords)
 		out = append(out, Envelope{from, reply})
 		more = reply.More
--- a/internal/proxy/quota/allocator.go
+++ b/internal/proxy/quota/allocator.go
@@ -38,7 +38,7 @@
 	// throttled holds the tenants whose less urgent work is throttled, events the starts and ends
 	// of throttling that were not fetched yet.
 	throttled map[string]*throttling
-	events    []HeldBack
+	events    []ThrottleEvent
 }
 
 type delegationKey struct {
--- a/internal/proxy/quota/keeper.go
+++ b/internal/proxy/quota/keeper.go
@@ -17,7 +17,7 @@
 type Keeper struct {
 	address string
 	sender  Sender
-	notify  func(HeldBack)
+	notify  func(ThrottleEvent)
 
 	mu      sync.Mutex
 	machine *Machine
@@ -33,7 +33,7 @@
 
 // NewKeeper returns a Keeper of a node that has no share yet.
 func NewKeeper(cfg Config, sender Sender) *Keeper {
-	return &Keeper{address: cfg.Address, sender: sender, notify: cfg.OnHeldBack, machine: NewMachine(cfg), waiting: map[waiterKey]chan struct{}{}}
+	return &Keeper{address: cfg.Address, sender: sender, notify: cfg.OnThrottleEvent, machine: NewMachine(cfg), waiting: map[waiterKey]chan struct{}{}}
 }
 
 // Token is a token of an operation. It is refunded if the operation does not run.
@@ -77,7 +77,7 @@
 func (k *Keeper) waitUntilValid(token Token, deadline time.Time) (Token, time.Duration, bool) {
 	now := time.Now()
 	if token.validFrom.After(deadline) {
-		k.PutBack(token)
+		k.Refund(token)
 		return Token{}, token.validFrom.Sub(now), false
 	}
 	if wait := token.validFrom.Sub(now); wait > 0 {
@@ -102,10 +102,10 @@
 	return verdict, changed
 }
 
-// PutBack returns the token of an operation that did not run.
-func (k *Keeper) PutBack(token Token) {
+// Refund returns the token of an operation that did not run.
+func (k *Keeper) Refund(token Token) {
 	k.step(func(now time.Time) {
-		k.machine.PutBack(now, token.tenant, token.level, token.validFrom, token.validUntil)
+		k.machine.Refund(now, token.tenant, token.level, token.validFrom, token.validUntil)
 	})
 }
 
--- a/internal/proxy/quota/keeper_test.go
+++ b/internal/proxy/quota/keeper_test.go
@@ -23,7 +23,7 @@
 	for _, urgentTimesOut := range []bool{false, true} {
 		bubbletest.Test(t, func(t *testing.T) {
 			sent := new(recorder)
-			k := NewKeeper(Config{Node: "n", Address: "n", Life: 1, Started: time.Now(), Limits: unitLimits}, sent)
+			k := NewKeeper(Config{Node: "n", Address: "n", Incarnation: 1, Started: time.Now(), Limits: unitLimits}, sent)
 			k.SetFleet(Fleet{Nodes: 2, Home: Region{Allocators: [][]string{{"allocator"}}}})
 			var granted [urgency.Levels]bool
 			take := func(level urgency.Level, maxWait time.Duration) {
--- a/internal/proxy/quota/levels_test.go
+++ b/internal/proxy/quota/levels_test.go
@@ -214,7 +214,7 @@
 // those without a level to the most urgent waiting operation.
 func TestUrgentWaiterTakesFirst(t *testing.T) {
 	for _, withLevels := range []bool{true, false} {
-		m := NewMachine(Config{Node: "n", Address: "n", Life: 1, Started: testStart, Limits: unitLimits})
+		m := NewMachine(Config{Node: "n", Address: "n", Incarnation: 1, Started: testStart, Limits: unitLimits})
 		m.SetFleet(Fleet{Nodes: 2, Home: Region{Allocators: [][]string{{"allocator"}}}})
 		must.True(t, m.Take(testTime(0), "t", 2, false).Pending)
 		must.True(t, m.Take(testTime(0), "t", 0, false).Pending)
@@ -233,9 +233,9 @@
 // TestThrottlingIsReportedOnce checks that throttling is reported once at its start and once at
 // its end.
 func TestThrottlingIsReportedOnce(t *testing.T) {
-	m := NewMachine(Config{Node: "n", Address: "n", Life: 7, Started: testStart, Limits: unitLimits})
+	m := NewMachine(Config{Node: "n", Address: "n", Incarnation: 7, Started: testStart, Limits: unitLimits})
 	allocator := m.allocator
-	var events []HeldBack
+	var events []ThrottleEvent
 	for now := testTime(0); now.Before(testTime(12 * time.Second)); now = now.Add(50 * time.Millisecond) {
 		allocator.Handle(now, &Request{
 			Node: "n", Echo: Echo{Incarnation: 7, Clock: now.Sub(testStart)}, Delegations: []Delegation{{Part: PartOf("t", 1), Share: 1}},
--- a/internal/proxy/quota/machine.go
+++ b/internal/proxy/quota/machine.go
@@ -29,12 +29,12 @@
 	// Node is the node's name, Address the address for messages to it.
 	Node    string
 	Address string
-	// Life identifies the process. Started is a time before it sent any message.
-	Life    uint64
-	Started time.Time
-	Limits  Limits
-	// OnHeldBack is called by a Keeper with each of Machine.ThrottleEvents; it may be nil.
-	OnHeldBack func(HeldBack)
+	// Incarnation identifies the process. Started is a time before it sent any message.
+	Incarnation uint64
+	Started     time.Time
+	Limits      Limits
+	// OnThrottleEvent is called by a Keeper with each of Machine.ThrottleEvents; it may be nil.
+	OnThrottleEvent func(ThrottleEvent)
 }
 
 // Fleet is what a node knows of the other nodes.
@@ -90,7 +90,7 @@
 // NewMachine returns a machine that knows no other node and has no share.
 func NewMachine(cfg Config) *Machine {
 	return &Machine{
-		cfg: cfg, allocator: NewAllocator(cfg.Life, cfg.Started, cfg.Limits),
+		cfg: cfg, allocator: NewAllocator(cfg.Incarnation, cfg.Started, cfg.Limits),
 		sentDelegations: map[Part]sentDelegation{}, allocators: map[string]*peer{}, tenants: map[string]*tenantTokens{},
 	}
 }
--- a/internal/proxy/quota/machine_test.go
+++ b/internal/proxy/quota/machine_test.go
@@ -28,8 +28,8 @@
 		quota := catalog.Quota{PerSecond: rapid.Float64Range(0, 5000).Draw(t, "rate"), Burst: rapid.Float64Range(0, 5000).Draw(t, "burst")}
 		limit := bounds.Limit(quota)
 		maxTokens := limit.MaxBalance + limit.Rate*(bounds.Window+limit.TTL).Seconds()
-		if maxTokens > bounds.Most(quota)/(1+shareErrorMargin)*(1+1e-9) {
-			t.Fatalf("%+v allows %v tokens in a window, want at most %v", limit, maxTokens, bounds.Most(quota))
+		if maxTokens > bounds.MaxOperations(quota)/(1+shareErrorMargin)*(1+1e-9) {
+			t.Fatalf("%+v allows %v tokens in a window, want at most %v", limit, maxTokens, bounds.MaxOperations(quota))
 		}
 		if limit.MaxBalance < 0 || limit.Rate < 0 || limit.TTL < minTokenTTL-time.Microsecond || limit.TTL > maxTokenTTL {
 			t.Fatalf("limit out of range: %+v", limit)
@@ -63,7 +63,7 @@
 // TestLateReplyGrantsNothing checks that the lifetime of tokens starts with the request, and that
 // replies to requests that timed out are ignored.
 func TestLateReplyGrantsNothing(t *testing.T) {
-	m := NewMachine(Config{Node: "n", Address: "n", Life: 1, Started: testStart, Limits: unitLimits})
+	m := NewMachine(Config{Node: "n", Address: "n", Incarnation: 1, Started: testStart, Limits: unitLimits})
 	m.SetFleet(Fleet{Nodes: 2, Home: Region{Allocators: [][]string{{"allocator"}}}})
 	must.True(t, m.Take(testTime(0), "t", 0, false).Pending)
 	request := m.Drain()[0].Message.Request
@@ -83,7 +83,7 @@
 // TestAllocatorsAreTriedInOrder checks that the home region is asked before the others, and that
 // the retry time of a rejected operation is the earliest of all allocators.
 func TestAllocatorsAreTriedInOrder(t *testing.T) {
-	m := NewMachine(Config{Node: "n", Address: "n", Life: 1, Started: testStart, Limits: unitLimits})
+	m := NewMachine(Config{Node: "n", Address: "n", Incarnation: 1, Started: testStart, Limits: unitLimits})
 	m.SetFleet(Fleet{Nodes: 3, Home: Region{Allocators: [][]string{{"home"}}}, Far: []Region{{Allocators: [][]string{{"far"}}}}})
 	must.True(t, m.Take(testTime(0), "t", 0, false).Pending)
 	for i, allocator := range []string{"home", "far"} {
@@ -109,7 +109,7 @@
 func TestUnavailableAllocatorIsReplacedUntilItAnswers(t *testing.T) {
 	nodes := map[string]*Machine{}
 	for i, name := range []string{"n", "a", "b"} {
-		nodes[name] = NewMachine(Config{Node: name, Address: name, Life: uint64(i + 1), Started: testStart, Limits: unitLimits})
+		nodes[name] = NewMachine(Config{Node: name, Address: name, Incarnation: uint64(i + 1), Started: testStart, Limits: unitLimits})
 	}
 	n := nodes["n"]
 	n.SetShare(testStart)
@@ -154,7 +154,7 @@
 
 // BenchmarkTake takes a token that the node already has.
 func BenchmarkTake(b *testing.B) {
-	k := NewKeeper(Config{Node: "n", Address: "n", Life: 1, Started: testStart, Limits: unitLimits}, nil)
+	k := NewKeeper(Config{Node: "n", Address: "n", Incarnation: 1, Started: testStart, Limits: unitLimits}, nil)
 	tokens := &tenantTokens{batches: []tokenBatch{{count: 1 << 31, validUntil: time.Now().Add(time.Hour)}}}
 	for i := range 1000 {
 		k.machine.tenants[fmt.Sprint(i)] = tokens
--- a/internal/proxy/quota/model_test.go
+++ b/internal/proxy/quota/model_test.go
@@ -179,7 +179,7 @@
 // startNode starts a node's process without any state.
 func (w *modelWorld) startNode(node *modelNode) {
 	node.machine = NewMachine(Config{
-		Node: node.address, Address: node.address, Life: 1 + w.random.Uint64N(1<<40), Started: w.now, Limits: w.limits,
+		Node: node.address, Address: node.address, Incarnation: 1 + w.random.Uint64N(1<<40), Started: w.now, Limits: w.limits,
 	})
 	if w.mutant == balanceUnbounded {
 		node.machine.allocator.limits = func(tenant string) (Limit, bool) {
@@ -249,7 +249,7 @@
 		}
 		maxOperations = max(maxOperations, i-first+1)
 	}
-	return maxOperations, int(w.bounds.Most(w.quota))
+	return maxOperations, int(w.bounds.MaxOperations(w.quota))
 }
 
 func (w *modelWorld) isRunning(node *modelNode) bool {
@@ -524,7 +524,7 @@
 func modelRuns(t *testing.T) uint64 {
 	t.Helper()
 	const defaultRuns = 150
-	return propertytest.Plays(t, "DEWKNOT_QUOTA_PLAYS", defaultRuns)
+	return propertytest.Runs(t, "DEWKNOT_QUOTA_PLAYS", defaultRuns)
 }
 
 // TestNoWindowExceedsBounds checks the bounds under random faults.
--- a/internal/proxy/quota/quota.go
+++ b/internal/proxy/quota/quota.go
@@ -27,8 +27,8 @@
 	Slack   float64
 }
 
-// Most returns the maximum number of operations of a tenant in any window.
-func (b Bounds) Most(quota catalog.Quota) float64 {
+// MaxOperations returns the maximum number of operations of a tenant in any window.
+func (b Bounds) MaxOperations(quota catalog.Quota) float64 {
 	return (quota.PerSecond*b.Window.Seconds()+quota.Burst)*(1+b.Overage) + b.Slack
 }
 
@@ -63,7 +63,7 @@
 // Limit returns the limit that keeps the bounds for a quota. Tokens used in a window were granted
 // in it or at most TTL before, so there are at most MaxBalance + Rate x (Window + TTL).
 func (b Bounds) Limit(quota catalog.Quota) Limit {
-	maxOperations := b.Most(quota) / (1 + shareErrorMargin)
+	maxOperations := b.MaxOperations(quota) / (1 + shareErrorMargin)
 	window := b.Window.Seconds()
 	limit := Limit{Rate: quota.PerSecond, TTL: maxTokenTTL}
 	if limit.Rate == 0 {
--- a/internal/proxy/quota/simulation_test.go
+++ b/internal/proxy/quota/simulation_test.go
@@ -97,7 +97,7 @@
 // startNode returns the machine of a node that starts.
 func (s *simulation) startNode(address string, number int) *Machine {
 	m := NewMachine(Config{
-		Node: address, Address: address, Life: s.random.Uint64(), Started: s.now,
+		Node: address, Address: address, Incarnation: s.random.Uint64(), Started: s.now,
 		Limits: func(string) (Limit, bool) { return s.limit, true },
 	})
 	m.SetShare(s.now)
@@ -180,7 +180,7 @@
 	case verdict.Pending:
 		s.waiting[node] = append(s.waiting[node], w)
 	case verdict.Granted && verdict.ValidFrom.After(w.deadline):
-		node.machine.PutBack(s.now, modelTenant, s.level(node, w.workload), verdict.ValidFrom, verdict.ValidUntil)
+		node.machine.Refund(s.now, modelTenant, s.level(node, w.workload), verdict.ValidFrom, verdict.ValidUntil)
 	case verdict.Granted && s.isCounted(node, w.arrived):
 		s.outcomes[w.workload].served++
 		s.outcomes[w.workload].totalWait += max(s.now.Sub(w.arrived), verdict.ValidFrom.Sub(w.arrived))
--- a/internal/proxy/quota/take.go
+++ b/internal/proxy/quota/take.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// PutBack returns the token of an operation of a level that did not run.
-func (m *Machine) PutBack(now time.Time, tenant string, level urgency.Level, validFrom, validUntil time.Time) {
+// Refund returns the token of an operation of a level that did not run.
+func (m *Machine) Refund(now time.Time, tenant string, level urgency.Level, validFrom, validUntil time.Time) {
 	if t := m.tenants[tenant]; t != nil && validUntil.After(now) {
 		t.batches = append(t.batches, tokenBatch{count: 1, level: int(level), validFrom: validFrom, validUntil: validUntil})
 	}
--- a/internal/proxy/quota/throttling.go
+++ b/internal/proxy/quota/throttling.go
@@ -18,21 +18,21 @@
 // tokens from another one.
 const minReportedRefusals = 10
 
-// HeldBack is the start or the end of an allocator's throttling of less urgent work of a tenant
+// ThrottleEvent is the start or the end of an allocator's throttling of less urgent work of a tenant
 // in favor of more urgent work.
-type HeldBack struct {
+type ThrottleEvent struct {
 	Tenant string
 	// Level is the first level that was throttled.
 	Level urgency.Level
 	Began bool
-	// Asked is the demand of each level in tokens per second.
-	Asked [urgency.Levels]float64
-	// Minted is the number of tokens that the allocator issues per second.
-	Minted float64
+	// Requested is the demand of each level in tokens per second.
+	Requested [urgency.Levels]float64
+	// IssueRate is the number of tokens that the allocator issues per second.
+	IssueRate float64
 	// Refused counts the tokens that were not granted. It is set at the end only.
 	Refused uint64
-	// Lasted is how long the throttling took. It is set at the end only.
-	Lasted time.Duration
+	// ThrottledFor is how long the throttling took. It is set at the end only.
+	ThrottledFor time.Duration
 }
 
 // throttling is a tenant whose less urgent work is throttled.
@@ -56,9 +56,9 @@
 		return
 	}
 	t.reported = true
-	event := HeldBack{Tenant: tenant, Level: t.level, Began: true, Minted: s.rate}
-	for l := range event.Asked {
-		event.Asked[l] = acc.claims.levelDemand[l].now(now)
+	event := ThrottleEvent{Tenant: tenant, Level: t.level, Began: true, IssueRate: s.rate}
+	for l := range event.Requested {
+		event.Requested[l] = acc.claims.levelDemand[l].now(now)
 	}
 	a.events = append(a.events, event)
 }
@@ -77,12 +77,12 @@
 		if !t.reported {
 			continue
 		}
-		a.events = append(a.events, HeldBack{Tenant: tenant, Level: t.level, Refused: t.refused, Lasted: t.last.Sub(t.since)})
+		a.events = append(a.events, ThrottleEvent{Tenant: tenant, Level: t.level, Refused: t.refused, ThrottledFor: t.last.Sub(t.since)})
 	}
 }
 
 // ThrottleEvents returns and clears the starts and ends of throttling at the node's allocator.
-func (m *Machine) ThrottleEvents() []HeldBack {
+func (m *Machine) ThrottleEvents() []ThrottleEvent {
 	events := m.allocator.events
 	m.allocator.events = nil
 	return events
--- a/internal/proxy/quotas.go
+++ b/internal/proxy/quotas.go
@@ -25,7 +25,7 @@
 	allocatorCandidates = 3
 	// joinDelay is how long a node that is new to the fleet has no share of its own. By then all
 	// other nodes have listed the members again and count it.
-	joinDelay = 3 * network.MemberLook / 2
+	joinDelay = 3 * network.MembersPollInterval / 2
 	// tokenWaitShare is the part of the latency objective for which an operation may wait for a
 	// token. The rest is left for running it.
 	tokenWaitShare = 0.6
@@ -38,8 +38,8 @@
 	}
 	return quota.NewKeeper(quota.Config{
 		Node: n.options.Name, Address: n.options.TokenAddress,
-		Life: backends.LifeNumber(n.options.Life), Started: n.started, Limits: n.limitOf,
-		OnHeldBack: n.logThrottled,
+		Incarnation: backends.IncarnationNumber(n.options.Incarnation), Started: n.started, Limits: n.limitOf,
+		OnThrottleEvent: n.logThrottled,
 	}, n.ports.Tokens)
 }
 
@@ -94,8 +94,8 @@
 	fleet := quota.Fleet{Nodes: len(*members) + 1, Home: allocatorsOf(byRegion[homeRegion])}
 	// The node itself is the last candidate for each allocator of its region.
 	for i := range fleet.Home.Allocators {
-		if !slices.Contains(fleet.Home.Allocators[i], self.Tokens) {
-			fleet.Home.Allocators[i] = append(fleet.Home.Allocators[i], self.Tokens)
+		if !slices.Contains(fleet.Home.Allocators[i], self.TokenAddress) {
+			fleet.Home.Allocators[i] = append(fleet.Home.Allocators[i], self.TokenAddress)
 		}
 	}
 	var otherRegions []placement.Candidate
@@ -116,8 +116,8 @@
 	addresses := map[string]string{}
 	var candidates []placement.Candidate
 	for _, member := range members {
-		if member.Tokens != "" {
-			addresses[member.Name] = member.Tokens
+		if member.TokenAddress != "" {
+			addresses[member.Name] = member.TokenAddress
 			candidates = append(candidates, placement.Candidate{ID: member.Name})
 		}
 	}
@@ -147,7 +147,7 @@
 	if n.quotas == nil || n.hasShare {
 		return true
 	}
-	count, previous := n.KnownMembers(), n.previousMembers
+	count, previous := n.KnownMemberCount(), n.previousMembers
 	n.previousMembers = count
 	validFrom := now
 	switch {
@@ -159,7 +159,7 @@
 	}
 	n.hasShare = true
 	n.quotas.SetShare(validFrom)
-	n.log.Write(eventlog.QuotaShare, zap.Int("nodes", n.KnownMembers()+1), zap.Bool("listed", listed),
+	n.log.Write(eventlog.QuotaShare, zap.Int("nodes", n.KnownMemberCount()+1), zap.Bool("listed", listed),
 		zap.Duration("in", validFrom.Sub(now)))
 	return true
 }
@@ -169,15 +169,15 @@
 
 // logThrottled logs that the node's allocator begins or stops to throttle less urgent work of a
 // tenant.
-func (n *Node) logThrottled(change quota.HeldBack) {
+func (n *Node) logThrottled(change quota.ThrottleEvent) {
 	fields := []zap.Field{
 		zap.String("tenant", change.Tenant), zap.Stringer("level", change.Level),
 		zap.Bool("began", change.Began),
 	}
 	if change.Began {
-		fields = append(fields, zap.Float64s("asked", change.Asked[:]), zap.Float64("minted", change.Minted))
+		fields = append(fields, zap.Float64s("asked", change.Requested[:]), zap.Float64("minted", change.IssueRate))
 	} else {
-		fields = append(fields, zap.Uint64("refused", change.Refused), zap.Duration("lasted", change.Lasted))
+		fields = append(fields, zap.Uint64("refused", change.Refused), zap.Duration("lasted", change.ThrottledFor))
 	}
 	n.log.Write(eventlog.QuotaHeldBack, fields...)
 }
@@ -222,6 +222,6 @@
 func (r *run) refund() {
 	if r.charged {
 		r.charged = false
-		r.session.node.quotas.PutBack(r.token)
+		r.session.node.quotas.Refund(r.token)
 	}
 }
--- a/internal/proxy/quotas_test.go
+++ b/internal/proxy/quotas_test.go
@@ -49,7 +49,7 @@
 // found in a window.
 func (f *simulatedFleet) checkQuota(tenant string, allowed catalog.Quota, from time.Time) int {
 	return f.check.CheckQuota(judge.Allowance{
-		Tenant: tenant, Span: testBounds.Window, Most: int(testBounds.Most(allowed)), From: from,
+		Tenant: tenant, Period: testBounds.Window, MaxOperations: int(testBounds.MaxOperations(allowed)), From: from,
 	})
 }
 
@@ -137,7 +137,7 @@
 		}
 		working.Wait()
 		windows := int(time.Since(began)/testBounds.Window) + 1
-		must.GreaterEq(t, callers*reads-windows*int(testBounds.Most(small)), int(refused.Load()))
+		must.GreaterEq(t, callers*reads-windows*int(testBounds.MaxOperations(small)), int(refused.Load()))
 		must.Less(t, callers*reads/10, int(slow.Load()))
 		fleet.setQuotas(3, map[string]catalog.Quota{"amber": {PerSecond: 2000, Burst: 2000}})
 		time.Sleep(2 * time.Second)
@@ -185,7 +185,7 @@
 		fleet.callersOnlyOn(7)
 		result := fleet.driveAll([]string{"c0", "c3", "c6", "c9", "cc", "cf"}, 12*time.Second)
 		must.Positive(t, result.Served)
-		must.LessEq(t, int(testBounds.Most(small)), fleet.checkQuota("amber", small, began))
+		must.LessEq(t, int(testBounds.MaxOperations(small)), fleet.checkQuota("amber", small, began))
 		must.Positive(t, fleet.check.Operations("amber"))
 		fleet.end()
 	})
--- a/internal/proxy/read.go
+++ b/internal/proxy/read.go
@@ -41,7 +41,7 @@
 		return Reply{}, false
 	}
 	begin := batch.Last()
-	if !r.service.JudgeBegin(target, begin) {
+	if !r.service.CheckBegin(target, begin) {
 		lease.Settle(begin)
 		if r.connectionRefused(target, begin) {
 			return r.refuse(failure.Overloaded), true
@@ -50,7 +50,7 @@
 		return Reply{}, false
 	}
 	if r.service.Covered(r.tenure, time.Now()) {
-		r.service.Proved(target, batch.SentAt, begin)
+		r.service.RecordProof(target, batch.SentAt, begin)
 	}
 	if !r.acquireSlot(target, lease, admission.OnlyHere) {
 		lease.RollBack()
@@ -75,11 +75,11 @@
 		return Reply{}, false
 	}
 	if result.Outcome == upstream.Succeeded {
-		if !r.service.Confirmed(r.tenure, arrived, r.deadline) {
+		if !r.service.Confirm(r.tenure, arrived, r.deadline) {
 			r.markUnanswered()
 			return Reply{}, false
 		}
-		r.service.Proved(target, batch.SentAt, result)
+		r.service.RecordProof(target, batch.SentAt, result)
 	}
 	return r.answer(result), true
 }
@@ -119,7 +119,7 @@
 			break
 		}
 		operation := r.operation()
-		operation.Floor = minimum.Position
+		operation.MinimumPosition = minimum.Position
 		batch := lease.Run(append(lease.Adapt(r.session.values, r.statement), operation),
 			r.slotReadDeadline(target, lease))
 		r.releaseSlot(target, lease, admission.Anywhere, &batch, batch.Last())
@@ -132,7 +132,7 @@
 		result := batch.Last()
 		lease.Settle(result)
 		if !result.Outcome.NotRun() {
-			target.Stats.CaughtUp(time.Now(), minimum.Since)
+			target.Stats.RecordCaughtUp(time.Now(), minimum.Since)
 			return r.answer(result)
 		}
 		if r.connectionRefused(target, result) || r.rejectsRead(target, result, minimum) {
@@ -145,7 +145,7 @@
 
 // acquireReplica acquires a connection to the best server, which may be the primary, for the read's
 // minimum position. The lease is nil if there is none in time.
-func (r *run) acquireReplica() (*backends.Server, *upstream.Lease, freshness.Floor) {
+func (r *run) acquireReplica() (*backends.Server, *upstream.Lease, freshness.MinimumPosition) {
 	for r.mayAttempt() {
 		minimum, found := r.minimum()
 		if r.session.node.Degraded.Load() || (!found && r.session.node.impaired()) {
@@ -175,11 +175,11 @@
 			if r.tried[target.ID] || !r.otherServerFits(target, minimum) {
 				break
 			}
-			r.service.Count(r.work.Level, "sent_elsewhere")
+			r.service.CountDecision(r.work.Level, "sent_elsewhere")
 			r.markTried(target)
 			continue
 		}
-		lease, err := r.session.node.Lend(target, r.session.principal, r.connectionDeadline())
+		lease, err := r.session.node.Acquire(target, r.session.principal, r.connectionDeadline())
 		if err == nil {
 			return target, lease, minimum
 		}
@@ -188,18 +188,18 @@
 		}
 		r.markTried(target)
 	}
-	return nil, nil, freshness.Floor{}
+	return nil, nil, freshness.MinimumPosition{}
 }
 
 // handleReadNotRun records why a server did not run a read. It pauses if the server was tried
 // before.
-func (r *run) handleReadNotRun(target *backends.Server, result *upstream.Result, minimum freshness.Floor) {
+func (r *run) handleReadNotRun(target *backends.Server, result *upstream.Result, minimum freshness.MinimumPosition) {
 	now := time.Now()
 	switch result.Outcome {
 	case upstream.Busy:
-		target.Stats.Busied(now.Add(busyAvoidance))
+		target.Stats.RecordBusy(now.Add(busyAvoidance))
 	case upstream.Behind:
-		target.Stats.Lagged(now, minimum.Since, result.Position)
+		target.Stats.RecordBehind(now, minimum.Since, result.Position)
 		r.recordLag(target, result.Position, now)
 	default:
 	}
@@ -226,24 +226,24 @@
 
 // minimum returns the minimum position of the read. The staleness counts from the arrival, so the
 // position doesn't grow while the read waits for a replica.
-func (r *run) minimum() (freshness.Floor, bool) {
+func (r *run) minimum() (freshness.MinimumPosition, bool) {
 	maxAge := r.session.bound.MaxStaleness - stalenessMargin
 	now := time.Now()
 	if age := now.Sub(r.service.Proofs.Newest().At); age > time.Duration(proofRefreshShare*float64(maxAge)) {
-		go r.service.RefreshProof(now.Add(backends.ProofLimit))
+		go r.service.RefreshProof(now.Add(backends.ProofTimeout))
 	}
 	var lastCommit freshness.OwnCommit
 	if r.session.bound.Freshness == catalog.ReadYourWrites {
 		lastCommit = r.session.lastCommit
 	}
-	return r.service.Proofs.Floor(r.arrived, maxAge, lastCommit)
+	return r.service.Proofs.MinimumPosition(r.arrived, maxAge, lastCommit)
 }
 
 // choose returns the server to run the read; nil if there is none.
-func (r *run) choose(minimum freshness.Floor) *backends.Server {
+func (r *run) choose(minimum freshness.MinimumPosition) *backends.Server {
 	now := time.Now()
 	node := r.session.node
-	leader := r.service.Belief.Leader()
+	leader := r.service.Leadership.Leader()
 	var servers []*backends.Server
 	var candidates []routing.Candidate
 	for _, entry := range node.catalog.Current().ByService[r.service.Name] {
@@ -256,7 +256,7 @@
 			SameZone:   entry.Zone == node.options.Zone,
 			SameRegion: node.options.Regions[entry.Zone] == node.options.Regions[node.options.Zone],
 			Primary:    entry.ID == leader,
-			Latency:    target.Stats.Latency(now), Way: target.Stats.Way(),
+			Latency:    target.Stats.Latency(now), RTT: target.Stats.RTT(),
 			InFlight: target.Load(), Slots: entry.Slots, Wait: r.reportedWait(target, now),
 			Covers:  target.Stats.Covers(minimum.Position, minimum.Since, now),
 			Avoided: target.Stats.Avoided(now), Congested: target.Stats.Congested(now),
@@ -275,6 +275,6 @@
 // reportedWait returns how long new work of this level is expected to wait at the server's owner; 0
 // without a recent report.
 func (r *run) reportedWait(target *backends.Server, now time.Time) time.Duration {
-	wait, _ := target.Wait(admission.Anywhere, r.work.Level, now)
+	wait, _ := target.ReportedWait(admission.Anywhere, r.work.Level, now)
 	return wait
 }
--- a/internal/proxy/readers_test.go
+++ b/internal/proxy/readers_test.go
@@ -59,12 +59,12 @@
 		change(300*time.Millisecond, nil)
 		for first := 0; first < nodes; first += 6 {
 			for i := range 6 {
-				fleet.store.SetCut(fleet.name(first+i), true)
+				fleet.store.SetIsolated(fleet.name(first+i), true)
 			}
 			time.Sleep(500 * time.Millisecond)
 			change(bound, nil)
 			for i := range 6 {
-				fleet.store.SetCut(fleet.name(first+i), false)
+				fleet.store.SetIsolated(fleet.name(first+i), false)
 			}
 			time.Sleep(3 * time.Second)
 			change(300*time.Millisecond, nil)
--- a/internal/proxy/relay/compression.go
+++ b/internal/proxy/relay/compression.go
@@ -15,7 +15,7 @@
 const compressMinBytes = 512
 
 // sendAnswer sends an answer, compressed if the request accepts that and it is shorter.
-func sendAnswer(connection net.Conn, request *Question, reply Answer) error {
+func sendAnswer(connection net.Conn, request *Request, reply Answer) error {
 	content, err := msgpack.Marshal(reply)
 	if err != nil {
 		return errors.Wrap(err, "encode an answer to another node")
--- a/internal/proxy/relay/pieces_test.go
+++ b/internal/proxy/relay/pieces_test.go
@@ -19,7 +19,7 @@
 
 const largeBytes = 1 << 20
 
-func (largeAnswerer) Answer(context.Context, Question) Answer {
+func (largeAnswerer) Answer(context.Context, Request) Answer {
 	return Answer{Objects: []objectstore.Object{{Content: make([]byte, largeBytes)}}}
 }
 
@@ -46,7 +46,7 @@
 		defer cancel()
 		defer context.AfterFunc(ctx, func() { _ = local.Close() })()
 		began := time.Now()
-		must.NoError(t, send(local, Question{Kind: "k"}))
+		must.NoError(t, send(local, Request{Kind: "k"}))
 		var answer Answer
 		must.NoError(t, receive(stall.Reader(ctx, &slowConn{local, 100 << 10}), &answer))
 		must.Eq(t, largeBytes, len(answer.Objects[0].Content))
@@ -67,7 +67,7 @@
 			ended <- time.Now()
 		}()
 		began := time.Now()
-		must.NoError(t, send(local, Question{Kind: "k"}))
+		must.NoError(t, send(local, Request{Kind: "k"}))
 		must.Less(t, ioTimeout+100*time.Millisecond, (<-ended).Sub(began))
 		_, err := io.Copy(io.Discard, local)
 		must.NoError(t, err)
--- a/internal/proxy/relay/relay.go
+++ b/internal/proxy/relay/relay.go
@@ -27,8 +27,8 @@
 	"dewknot/internal/proxy/traffic"
 )
 
-// Question is a request to another node.
-type Question struct {
+// Request is a request to another node.
+type Request struct {
 	// Kind, if set, requests the objects of a kind: all of them, or with Changes those changed
 	// after a revision, waiting up to Wait for a change.
 	Kind    string        `msgpack:"k,omitempty"`
@@ -97,7 +97,7 @@
 
 // Handler answers requests.
 type Handler interface {
-	Answer(ctx context.Context, request Question) Answer
+	Answer(ctx context.Context, request Request) Answer
 	// Connect opens a connection to a server, for a tunnel.
 	Connect(ctx context.Context, server string) (net.Conn, error)
 	// ServeLink serves a link until it ends.
@@ -127,7 +127,7 @@
 }
 
 // setKind sets the kind of a connection's traffic.
-func (a *Accounting) setKind(connection net.Conn, request *Question) {
+func (a *Accounting) setKind(connection net.Conn, request *Request) {
 	kind := a.Kinds[request.Kind]
 	switch {
 	case request.Link:
@@ -168,7 +168,7 @@
 func (s *server) serve(connection net.Conn) {
 	defer func() { _ = connection.Close() }()
 	_ = connection.SetReadDeadline(time.Now().Add(ioTimeout))
-	var request Question
+	var request Request
 	if receive(connection, &request) != nil {
 		return
 	}
@@ -193,7 +193,7 @@
 }
 
 // servePiece answers with a piece, or with a retry delay if too many pieces are being sent.
-func (s *server) servePiece(ctx context.Context, connection net.Conn, request Question) {
+func (s *server) servePiece(ctx context.Context, connection net.Conn, request Request) {
 	began, retryAfter := s.pieces.acquire()
 	if retryAfter > 0 {
 		_ = send(connection, Answer{RetryAfter: retryAfter})
@@ -230,21 +230,21 @@
 // ErrNotReached is returned if the other node cannot reach the server either.
 var ErrNotReached = errors.New("the other node does not reach the server; ask a different one")
 
-// Asker sends requests to other nodes.
-type Asker struct{ Accounting }
+// Client sends requests to other nodes.
+type Client struct{ Accounting }
 
 // Tunnel opens a connection to a server through the node at an address.
-func (a *Asker) Tunnel(ctx context.Context, address, server string) (net.Conn, error) {
-	return a.open(ctx, address, Question{Server: server, Tunnel: true})
+func (a *Client) Tunnel(ctx context.Context, address, server string) (net.Conn, error) {
+	return a.open(ctx, address, Request{Server: server, Tunnel: true})
 }
 
 // Link opens the connection of a link to the node at an address.
-func (a *Asker) Link(ctx context.Context, address string) (net.Conn, error) {
-	return a.open(ctx, address, Question{Link: true})
+func (a *Client) Link(ctx context.Context, address string) (net.Conn, error) {
+	return a.open(ctx, address, Request{Link: true})
 }
 
 // open sends a request after whose answer the connection stays open.
-func (a *Asker) open(ctx context.Context, address string, request Question) (net.Conn, error) {
+func (a *Client) open(ctx context.Context, address string, request Request) (net.Conn, error) {
 	connection, err := liveness.Dialer(0).DialContext(ctx, "tcp4", address)
 	if err != nil {
 		return nil, errors.Wrap(err, "reach another node; ask a different one")
@@ -270,7 +270,7 @@
 }
 
 // Ask sends a request to the node at an address and returns its answer.
-func (a *Asker) Ask(ctx context.Context, address string, request Question) (Answer, error) {
+func (a *Client) Ask(ctx context.Context, address string, request Request) (Answer, error) {
 	connection, err := liveness.Dialer(dialTimeout).DialContext(ctx, "tcp4", address)
 	if err != nil {
 		return Answer{}, errors.Wrap(err, "reach another node; ask a different one")
--- a/internal/proxy/relay/relay_test.go
+++ b/internal/proxy/relay/relay_test.go
@@ -18,7 +18,7 @@
 // echo answers with the fields of the request.
 type echo struct{}
 
-func (echo) Answer(_ context.Context, request Question) Answer {
+func (echo) Answer(_ context.Context, request Request) Answer {
 	return Answer{
 		Objects:  []objectstore.Object{{Name: request.Kind, Revision: request.After, Content: []byte("content")}},
 		Revision: era.Revision(request.Wait), Reached: request.Server != "",
@@ -57,13 +57,13 @@
 	address := startServer(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
-	answer, err := new(Asker).Ask(ctx, address, Question{Kind: "servers", Changes: true, After: 7, Wait: time.Second, Server: "s1"})
+	answer, err := new(Client).Ask(ctx, address, Request{Kind: "servers", Changes: true, After: 7, Wait: time.Second, Server: "s1"})
 	must.NoError(t, err)
 	must.Eq(t, Answer{
 		Objects: []objectstore.Object{{Name: "servers", Revision: 7, Content: []byte("content")}}, Revision: era.Revision(time.Second), Reached: true,
 	}, answer)
 	// A wait beyond the maximum is capped.
-	answer, err = new(Asker).Ask(ctx, address, Question{Wait: time.Hour})
+	answer, err = new(Client).Ask(ctx, address, Request{Wait: time.Hour})
 	must.NoError(t, err)
 	must.Eq(t, era.Revision(maxWait), answer.Revision)
 }
@@ -79,7 +79,7 @@
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
-	_, err := new(Asker).Ask(ctx, address, Question{Server: "s"})
+	_, err := new(Client).Ask(ctx, address, Request{Server: "s"})
 	must.NoError(t, err)
 }
 
@@ -87,7 +87,7 @@
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	must.NoError(t, err)
 	must.NoError(t, listener.Close())
-	_, err = new(Asker).Ask(t.Context(), listener.Addr().String(), Question{Server: "s"})
+	_, err = new(Client).Ask(t.Context(), listener.Addr().String(), Request{Server: "s"})
 	must.Error(t, err)
 }
 
@@ -95,7 +95,7 @@
 func TestLinkCarriesBytes(t *testing.T) {
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
-	link, err := new(Asker).Link(ctx, startServer(t))
+	link, err := new(Client).Link(ctx, startServer(t))
 	must.NoError(t, err)
 	_, err = link.Write([]byte("frame"))
 	must.NoError(t, err)
@@ -130,7 +130,7 @@
 	}()
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
-	tunnel, err := new(Asker).Tunnel(ctx, address, server.Addr().String())
+	tunnel, err := new(Client).Tunnel(ctx, address, server.Addr().String())
 	must.NoError(t, err)
 	for range 3 {
 		_, err = tunnel.Write([]byte("hello"))
@@ -143,7 +143,7 @@
 	must.NoError(t, tunnel.Close())
 	<-closed
 	must.NoError(t, server.Close())
-	_, err = new(Asker).Tunnel(ctx, address, server.Addr().String())
+	_, err = new(Client).Tunnel(ctx, address, server.Addr().String())
 	must.ErrorIs(t, err, ErrNotReached)
 }
 
@@ -160,7 +160,7 @@
 	for _, accepted := range []bool{false, true} {
 		local, remote := net.Pipe()
 		go func() {
-			_ = sendAnswer(remote, &Question{AcceptCompressed: accepted}, sent)
+			_ = sendAnswer(remote, &Request{AcceptCompressed: accepted}, sent)
 			_ = remote.Close()
 		}()
 		content, err := io.ReadAll(local)
--- a/internal/proxy/remote/host.go
+++ b/internal/proxy/remote/host.go
@@ -14,14 +14,14 @@
 	"dewknot/internal/base/framing"
 	"dewknot/internal/base/position"
 	"dewknot/internal/proxy/admission"
-	"dewknot/internal/proxy/told"
+	"dewknot/internal/proxy/loadreport"
 	"dewknot/internal/proxy/upstream"
 )
 
 // Server is a database server as its owner accesses it.
 type Server interface {
-	// Lend returns a connection of a principal.
-	Lend(principal upstream.Principal, deadline time.Time) (*upstream.Lease, error)
+	// Acquire returns a connection of a principal.
+	Acquire(principal upstream.Principal, deadline time.Time) (*upstream.Lease, error)
 	// Silent reports whether the server does not answer this node.
 	Silent() bool
 	// Behind returns the server's position, and whether it was recently seen to lack the minimum
@@ -32,7 +32,7 @@
 	Enter(work admission.Request, deadline time.Time) bool
 	Leave(class admission.Class, batch *upstream.Batch, result *upstream.Result)
 	// Report returns the current load report on the server.
-	Report() told.Report
+	Report() loadreport.Report
 	// Proof returns the newest known position that covers all commits acknowledged before a time;
 	// zero if none is known.
 	Proof() (at time.Time, covers position.Position)
@@ -56,8 +56,8 @@
 // NewOwner returns an owner of a host's connections.
 func NewOwner(host Host) *Owner { return &Owner{host: host, links: map[*hostLink]struct{}{}} }
 
-// Leave asks all linked nodes to use other owners for new work. Running work goes on.
-func (o *Owner) Leave() {
+// AnnounceLeaving asks all linked nodes to use other owners for new work. Running work goes on.
+func (o *Owner) AnnounceLeaving() {
 	o.mu.Lock()
 	o.leaving = true
 	links := maps.Clone(o.links)
@@ -206,7 +206,7 @@
 		resp.Proof, resp.ProofAge = covers, time.Since(at)
 	}
 	load := target.Report()
-	load.Held = told.Milliseconds(time.Since(received))
+	load.OwnerDelay = loadreport.Milliseconds(time.Since(received))
 	resp.Load = &load
 	return resp
 }
@@ -273,7 +273,7 @@
 		return s.reject(target, operations, deadline)
 	}
 	if s.lease == nil {
-		lease, err := target.Lend(req.Principal, earlier(deadline, time.Now().Add(acquireTimeout)))
+		lease, err := target.Acquire(req.Principal, earlier(deadline, time.Now().Add(acquireTimeout)))
 		if err != nil {
 			if slot >= 0 {
 				target.Leave(req.Ticket.Class, &upstream.Batch{Err: err}, nil)
@@ -288,8 +288,8 @@
 // minimumPosition returns the position that operations require; zero if they require none.
 func minimumPosition(operations []upstream.Operation) position.Position {
 	for i := range operations {
-		if !operations[i].Floor.IsZero() {
-			return operations[i].Floor
+		if !operations[i].MinimumPosition.IsZero() {
+			return operations[i].MinimumPosition
 		}
 	}
 	return position.Position{}
@@ -374,7 +374,7 @@
 func (s *hostStream) admissionRequest(req *request, received time.Time) admission.Request {
 	ticket := &req.Ticket
 	return admission.Request{
-		Class: ticket.Class, Priority: ticket.Priority, Arrived: received.Add(-ticket.Age), Principal: string(req.Principal), Holds: s.lease != nil,
+		Class: ticket.Class, Priority: ticket.Priority, Arrived: received.Add(-ticket.Age), Principal: string(req.Principal), HasConnection: s.lease != nil,
 	}
 }
 
--- a/internal/proxy/remote/link.go
+++ b/internal/proxy/remote/link.go
@@ -11,7 +11,7 @@
 	"dewknot/internal/base/codec"
 	"dewknot/internal/base/framing"
 	"dewknot/internal/base/position"
-	"dewknot/internal/proxy/told"
+	"dewknot/internal/proxy/loadreport"
 	"dewknot/internal/proxy/upstream"
 )
 
@@ -34,7 +34,7 @@
 
 // ReportFunc receives an owner's load report on a server, and when the request was sent whose
 // response carried it.
-type ReportFunc func(server string, sent time.Time, report *told.Report)
+type ReportFunc func(server string, sent time.Time, report *loadreport.Report)
 
 // linkCount numbers the links. A link leads to one process, so its number identifies the
 // incarnation in that process's load reports.
@@ -235,8 +235,8 @@
 	open bool
 }
 
-// Queue sets the ticket with which the next operations wait at the owner.
-func (s *Session) Queue(ticket Ticket) { s.ticket = ticket }
+// SetTicket sets the ticket with which the next operations wait at the owner.
+func (s *Session) SetTicket(ticket Ticket) { s.ticket = ticket }
 
 // Send implements upstream.Connection.
 func (s *Session) Send(operations []upstream.Operation, deadline time.Time) error {
@@ -301,7 +301,7 @@
 			s.link.onProof(s.server, s.sentAt.Add(-resp.ProofAge), resp.Proof)
 		}
 		if resp.Load != nil {
-			resp.Load.Life = s.link.incarnation
+			resp.Load.Incarnation = s.link.incarnation
 			s.link.onReport(s.server, s.sentAt, resp.Load)
 		}
 	case <-s.link.lost:
--- a/internal/proxy/remote/protocol.go
+++ b/internal/proxy/remote/protocol.go
@@ -14,7 +14,7 @@
 
 	"dewknot/internal/base/position"
 	"dewknot/internal/proxy/admission"
-	"dewknot/internal/proxy/told"
+	"dewknot/internal/proxy/loadreport"
 	"dewknot/internal/proxy/upstream"
 )
 
@@ -95,7 +95,7 @@
 	ProofAge time.Duration
 	// Load is the owner's load report on the server, nil if it sends none. It is encoded as an
 	// extension after the response.
-	Load *told.Report `msgpack:"-"`
+	Load *loadreport.Report `msgpack:"-"`
 }
 
 // Extension implements codec.Extended.
@@ -108,7 +108,7 @@
 
 // Extend implements codec.Extended. A report in an unknown form is ignored.
 func (r *response) Extend(decode func(extension any) error) error {
-	load := new(told.Report)
+	load := new(loadreport.Report)
 	if decode(load) == nil {
 		r.Load = load
 	}
--- a/internal/proxy/remote/remote_test.go
+++ b/internal/proxy/remote/remote_test.go
@@ -14,7 +14,7 @@
 	"dewknot/internal/base/position"
 	"dewknot/internal/proxy/admission"
 	"dewknot/internal/proxy/command"
-	"dewknot/internal/proxy/told"
+	"dewknot/internal/proxy/loadreport"
 	"dewknot/internal/proxy/upstream"
 )
 
@@ -54,7 +54,7 @@
 	return s
 }
 
-func (s *fakeServer) Lend(principal upstream.Principal, deadline time.Time) (*upstream.Lease, error) {
+func (s *fakeServer) Acquire(principal upstream.Principal, deadline time.Time) (*upstream.Lease, error) {
 	return s.pool.Get(principal, deadline)
 }
 
@@ -75,11 +75,11 @@
 	return true
 }
 
-func (s *fakeServer) Report() told.Report {
+func (s *fakeServer) Report() loadreport.Report {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.reports++
-	return told.Report{Sequence: s.reports, Waiting: 7, Limit: 4}
+	return loadreport.Report{Sequence: s.reports, Waiting: 7, Limit: 4}
 }
 
 func (s *fakeServer) Leave(admission.Class, *upstream.Batch, *upstream.Result) {
@@ -150,10 +150,10 @@
 type observations struct {
 	mu         sync.Mutex
 	proofTimes []time.Time
-	view       told.View
+	view       loadreport.View
 }
 
-func ignoreReports(string, time.Time, *told.Report) {}
+func ignoreReports(string, time.Time, *loadreport.Report) {}
 
 // connect opens a link to an owner of the server, and records the proofs and load reports.
 func connect(t testing.TB, server *fakeServer) (*Link, *Owner, *observations) {
@@ -166,7 +166,7 @@
 		observed.mu.Lock()
 		defer observed.mu.Unlock()
 		observed.proofTimes = append(observed.proofTimes, at)
-	}, func(_ string, sent time.Time, report *told.Report) {
+	}, func(_ string, sent time.Time, report *loadreport.Report) {
 		observed.mu.Lock()
 		defer observed.mu.Unlock()
 		observed.view.Observe(sent, report)
@@ -310,13 +310,13 @@
 		server.behind = true
 		link, _, _ := connect(t, server)
 		read := statement("x")
-		read.Floor = position.Position{Term: 1, Offset: 12}
+		read.MinimumPosition = position.Position{Term: 1, Offset: 12}
 		batch := lease(link, "s1").Run([]upstream.Operation{read}, testDeadline())
 		must.NoError(t, batch.Err)
 		must.Eq(t, upstream.Behind, batch.Last().Outcome)
 		must.Eq(t, position.Position{Term: 1, Offset: 9}, batch.Last().Position)
 		must.SliceEmpty(t, server.kinds())
-		read.Floor = position.Position{Term: 1, Offset: 8}
+		read.MinimumPosition = position.Position{Term: 1, Offset: 8}
 		batch = lease(link, "s1").Run([]upstream.Operation{read}, testDeadline())
 		must.NoError(t, batch.Err)
 		must.Eq(t, upstream.Succeeded, batch.Last().Outcome)
@@ -502,7 +502,7 @@
 		link, owner, _ := connect(t, server)
 		l := lease(link, "s1")
 		must.NoError(t, l.Run([]upstream.Operation{{Kind: upstream.Begin}}, testDeadline()).Err)
-		owner.Leave()
+		owner.AnnounceLeaving()
 		eventually(t, "the link does not learn that the owner leaves", func() bool { return !link.Alive() })
 		must.NoError(t, l.Run([]upstream.Operation{{Kind: upstream.Commit, RequestID: "x"}}, testDeadline()).Err)
 	})
--- a/internal/proxy/remote/report_test.go
+++ b/internal/proxy/remote/report_test.go
@@ -9,7 +9,7 @@
 	"dewknot/internal/base/bubbletest"
 	"dewknot/internal/base/codec"
 	"dewknot/internal/base/position"
-	"dewknot/internal/proxy/told"
+	"dewknot/internal/proxy/loadreport"
 	"dewknot/internal/proxy/upstream"
 )
 
@@ -60,7 +60,7 @@
 	bubbletest.Test(t, func(t *testing.T) {
 		link, _, observed := connect(t, newFakeServer())
 		must.NoError(t, lease(link, "s1").Run([]upstream.Operation{statement("x")}, testDeadline()).Err)
-		time.Sleep(told.Life)
+		time.Sleep(loadreport.MaxAge)
 		_, _, known := observed.view.Newest(time.Now())
 		must.False(t, known)
 	})
@@ -81,7 +81,7 @@
 	must.NoError(t, codec.Decode(earlierEncoded, &decoded))
 	must.Eq(t, response{Lost: true, ProofAge: 5}, decoded)
 
-	current := &response{Lost: true, ProofAge: 5, Load: &told.Report{Waiting: 3}}
+	current := &response{Lost: true, ProofAge: 5, Load: &loadreport.Report{Waiting: 3}}
 	encoded, err := codec.Append(nil, current)
 	must.NoError(t, err)
 	var decodedEarlier earlier
--- a/internal/proxy/report.go
+++ b/internal/proxy/report.go
@@ -19,7 +19,7 @@
 	primary  bool
 	attempts int
 	// minimum is the minimum position of a read.
-	minimum  freshness.Floor
+	minimum  freshness.MinimumPosition
 	headroom headroomRecord
 }
 
--- a/internal/proxy/routing/herd_test.go
+++ b/internal/proxy/routing/herd_test.go
@@ -96,7 +96,7 @@
 				decayed := time.Duration(float64(current.wait) * max(0, 1-float64(now-current.at)/reportDecayTime))
 				candidates[i] = Candidate{
 					SameZone: true, SameRegion: true, Covers: true, Slots: f.slots[i], InFlight: int(inFlight[n][i]),
-					Way: simRTT, Latency: simRTT + time.Duration(service(i)*float64(time.Millisecond)), Wait: decayed,
+					RTT: simRTT, Latency: simRTT + time.Duration(service(i)*float64(time.Millisecond)), Wait: decayed,
 				}
 			}
 			chosen := f.choose(candidates, simTimeLeft, r.IntN)
--- a/internal/proxy/routing/routing.go
+++ b/internal/proxy/routing/routing.go
@@ -17,7 +17,7 @@
 	// Latency is the expected latency of a statement, queueing included. Way is the lowest latency
 	// seen, which is close to the round-trip time. Both are zero if unknown.
 	Latency time.Duration
-	Way     time.Duration
+	RTT     time.Duration
 	// InFlight counts this node's requests that the server has not answered yet.
 	InFlight int
 	// Slots is how many statements the server runs at a time; zero if unknown.
@@ -85,7 +85,7 @@
 }
 
 func (c *Candidate) estimate(left time.Duration) estimate {
-	rtt := min(c.Way, c.Latency)
+	rtt := min(c.RTT, c.Latency)
 	fixed := rtt + c.penalty(max(left, 0))
 	return estimate{fixed: fixed, total: fixed + c.workTime(rtt)}
 }
--- a/internal/proxy/routing/routing_test.go
+++ b/internal/proxy/routing/routing_test.go
@@ -35,8 +35,8 @@
 }
 
 func TestChoiceOfAServer(t *testing.T) {
-	near := Candidate{SameZone: true, SameRegion: true, Latency: usualLatency, Way: usualLatency / 2, Covers: true, Slots: 4}
-	far := Candidate{Latency: 3 * usualLatency, Way: 2 * usualLatency, Covers: true, Slots: 4}
+	near := Candidate{SameZone: true, SameRegion: true, Latency: usualLatency, RTT: usualLatency / 2, Covers: true, Slots: 4}
+	far := Candidate{Latency: 3 * usualLatency, RTT: 2 * usualLatency, Covers: true, Slots: 4}
 	with := func(candidate Candidate, change func(*Candidate)) Candidate {
 		change(&candidate)
 		return candidate
@@ -79,7 +79,7 @@
 			return Candidate{
 				SameZone: rapid.Bool().Draw(t, label), SameRegion: rapid.Bool().Draw(t, label), Primary: rapid.Bool().Draw(t, label),
 				Latency:  time.Duration(rapid.IntRange(0, 1000).Draw(t, label)) * time.Millisecond,
-				Way:      time.Duration(rapid.IntRange(0, 100).Draw(t, label)) * time.Millisecond,
+				RTT:      time.Duration(rapid.IntRange(0, 100).Draw(t, label)) * time.Millisecond,
 				Wait:     time.Duration(rapid.IntRange(0, 100).Draw(t, label)) * time.Millisecond,
 				InFlight: rapid.IntRange(0, 40).Draw(t, label), Covers: rapid.Bool().Draw(t, label),
 				Slots: rapid.IntRange(0, 8).Draw(t, label),
@@ -111,9 +111,9 @@
 // TestDistanceIsAvoidedWhileThereIsTime guards against using remote servers or the primary while
 // there is time, and against avoiding them when the objective is near.
 func TestDistanceIsAvoidedWhileThereIsTime(t *testing.T) {
-	slow := Candidate{SameZone: true, SameRegion: true, Covers: true, Latency: 60 * time.Millisecond, Way: time.Millisecond}
-	far := Candidate{Covers: true, Latency: 45 * time.Millisecond, Way: 40 * time.Millisecond}
-	primary := Candidate{SameZone: true, SameRegion: true, Covers: true, Primary: true, Latency: 6 * time.Millisecond, Way: time.Millisecond}
+	slow := Candidate{SameZone: true, SameRegion: true, Covers: true, Latency: 60 * time.Millisecond, RTT: time.Millisecond}
+	far := Candidate{Covers: true, Latency: 45 * time.Millisecond, RTT: 40 * time.Millisecond}
+	primary := Candidate{SameZone: true, SameRegion: true, Covers: true, Primary: true, Latency: 6 * time.Millisecond, RTT: time.Millisecond}
 	must.Eq(t, []int{64, 0}, chances([]Candidate{slow, far}, objective))
 	must.Eq(t, []int{0, 64}, chances([]Candidate{slow, far}, 50*time.Millisecond))
 	must.Eq(t, []int{64, 0}, chances([]Candidate{far, primary}, objective))
--- a/internal/proxy/run.go
+++ b/internal/proxy/run.go
@@ -71,7 +71,7 @@
 
 func (s *session) newRun(statement *command.Statement, arrived time.Time) *run {
 	service := s.node.Service(s.bound.Service)
-	service.Used(arrived)
+	service.MarkUsed(arrived)
 	deadline := arrived.Add(s.bound.StatementTimeout - answerMargin)
 	return &run{
 		session: s, service: service, statement: statement, arrived: arrived, deadline: deadline,
@@ -114,11 +114,11 @@
 	now := time.Now()
 	request := admission.Request{
 		Class: class, Priority: r.session.bound.Priority, Arrived: r.arrived, Late: r.late(now),
-		Principal: string(r.session.principal), Holds: true,
+		Principal: string(r.session.principal), HasConnection: true,
 	}
 	if !lease.Remote() {
 		if wait := target.Gate.Wait(request); class != admission.Continuation &&
-			(r.cannotFinishInTime(wait) || admission.Overfull(wait, deadline.Sub(now))) {
+			(r.cannotFinishInTime(wait) || admission.WaitTooLong(wait, deadline.Sub(now))) {
 			return false
 		}
 		return r.session.node.Admit(target, request, deadline)
@@ -152,13 +152,13 @@
 	target *backends.Server, lease *upstream.Lease, class admission.Class,
 	batch *upstream.Batch, result *upstream.Result,
 ) {
-	r.session.record.addAttempt(target, target.ID == r.service.Belief.Leader())
+	r.session.record.addAttempt(target, target.ID == r.service.Leadership.Leader())
 	r.session.node.metrics.countNotRun(result)
 	if lease.Remote() {
 		target.Remote.Add(-1)
 		return
 	}
-	target.Gate.Leave(class, backends.EndOf(batch, result), time.Now())
+	target.Gate.Leave(class, backends.AdmissionResult(batch, result), time.Now())
 }
 
 // connectionRefused reports whether the server's owner had no connection for new work, and the work
@@ -209,7 +209,7 @@
 
 // awaitPrimary waits a moment for a primary to become known.
 func (r *run) awaitPrimary() {
-	changed := r.service.Belief.Changed()
+	changed := r.service.Leadership.Changed()
 	if r.service.Leader(time.Now()) != nil {
 		r.pause(backends.BusyPause)
 		return
@@ -242,7 +242,7 @@
 			r.awaitPrimary()
 			continue
 		}
-		tenure, usable := r.service.Hold(target.ID)
+		tenure, usable := r.service.RequestTenure(target.ID)
 		if !usable {
 			r.awaitPrimary()
 			continue
@@ -251,7 +251,7 @@
 		if !r.passesEarlyCheck(target, admission.OnlyHere) {
 			return nil, nil, failure.Overloaded
 		}
-		lease, err := r.session.node.Lend(target, r.session.principal, r.connectionDeadline())
+		lease, err := r.session.node.Acquire(target, r.session.principal, r.connectionDeadline())
 		if err == nil {
 			return target, lease, failure.None
 		}
--- a/internal/proxy/seeds_test.go
+++ b/internal/proxy/seeds_test.go
@@ -20,7 +20,7 @@
 		"refuses": func(f *simulatedFleet, silent bool) { f.store.SetDown(silent) },
 		"silent": func(f *simulatedFleet, silent bool) {
 			for i := range f.listeners {
-				f.store.SetCut(f.name(i), silent)
+				f.store.SetIsolated(f.name(i), silent)
 			}
 		},
 	} {
@@ -37,7 +37,7 @@
 				time.Sleep(time.Second)
 				started := fleet.nodes[fleet.name(2)]
 				must.True(t, started.Ready())
-				must.Eq(t, nodes-1, started.KnownMembers())
+				must.Eq(t, nodes-1, started.KnownMemberCount())
 				silence(fleet, false)
 				time.Sleep(3 * time.Second)
 				fleet.end()
@@ -63,7 +63,7 @@
 		time.Sleep(3 * time.Second)
 		for _, node := range fleet.nodes {
 			must.False(t, node.Ready())
-			answer := node.Answer(context.Background(), relay.Question{Kind: managed.MemberKind})
+			answer := node.Answer(context.Background(), relay.Request{Kind: managed.MemberKind})
 			must.True(t, answer.Failed)
 		}
 		fleet.store.SetDown(false)
--- a/internal/proxy/session.go
+++ b/internal/proxy/session.go
@@ -74,7 +74,7 @@
 	s.node.awaitConfiguration(time.Now())
 	refusal := s.bind()
 	if refusal != nil && refusal.Kind == failure.UnknownKey {
-		s.node.SeekNewer(time.Now())
+		s.node.FetchNewerConfiguration(time.Now())
 		refusal = s.bind()
 	}
 	if refusal != nil {
@@ -103,7 +103,7 @@
 	if access == catalog.Denied {
 		return failure.New(failure.UnknownKey, "")
 	}
-	if access == catalog.Identified && !route.Public && s.node.KeysUncertain(time.Now()) {
+	if access == catalog.Identified && !route.Public && s.node.KeysOutdated(time.Now()) {
 		return &failure.Error{
 			Kind: failure.Isolated, Detail: "which keys are in force is not known",
 			RetryAfter: withJitter(uncertainKeysRetry),
--- a/internal/proxy/simulation_test.go
+++ b/internal/proxy/simulation_test.go
@@ -27,20 +27,20 @@
 const unfencedFaultKinds = 3
 
 // standinFaults are the faults that the stand-in platform injects, by number.
-var standinFaults = map[int]managed.Trouble{
-	0: managed.PrimaryCrash, 1: managed.PrimaryDark, 2: managed.ReplicaDeaf, 3: managed.ReplicaLate,
-	4: managed.AnswersLost, 5: managed.StoreDown, 6: managed.StoreSlow, 8: managed.PrimarySevered, 9: managed.OrdersLate,
+var standinFaults = map[int]managed.Fault{
+	0: managed.PrimaryCrash, 1: managed.PrimaryUnreachable, 2: managed.ReplicaNotReceiving, 3: managed.ReplicaLagging,
+	4: managed.AnswersLost, 5: managed.StoreDown, 6: managed.StoreSlow, 8: managed.PrimaryNotReplicating, 9: managed.PromotionsDelayed,
 }
 
 // serverDegradations are faults of servers that still answer.
-var serverDegradations = []managed.Trouble{managed.ServerSlow, managed.ServerGrey, managed.ServerFlaps}
+var serverDegradations = []managed.Fault{managed.ServerSlow, managed.ServerDegraded, managed.ServerFlapping}
 
 // injectFault injects one fault and returns when it is over.
 func (f *simulatedFleet) injectFault(random *rand.Rand) {
 	duration := time.Duration(500+random.IntN(4000)) * time.Millisecond
 	if f.degradedServers && random.IntN(3) == 0 {
-		victims := managed.Victims{Group: f.group, Store: f.store, Promoter: f.promoter}
-		victims.Strike(serverDegradations[random.IntN(len(serverDegradations))], random, duration)
+		victims := managed.FaultTargets{Group: f.group, Store: f.store, Promoter: f.promoter}
+		victims.Inject(serverDegradations[random.IntN(len(serverDegradations))], random, duration)
 		return
 	}
 	kinds := faultKinds
@@ -51,8 +51,8 @@
 	f.log.Write("trouble", zap.Int("kind", kind), zap.Duration("span", duration),
 		zap.String("primary", f.group.Primary().ID()))
 	if fault, found := standinFaults[kind]; found {
-		victims := managed.Victims{Group: f.group, Store: f.store, Promoter: f.promoter}
-		victims.Strike(fault, random, duration)
+		victims := managed.FaultTargets{Group: f.group, Store: f.store, Promoter: f.promoter}
+		victims.Inject(fault, random, duration)
 		return
 	}
 	f.injectNodeFault(kind, random, duration)
@@ -74,11 +74,11 @@
 		time.Sleep(7 * time.Second)
 		f.startNode(node)
 	case 11:
-		f.store.Forget()
+		f.store.CompactHistory()
 		f.store.LoseAnswers(2)
-		f.store.SetCut(f.name(node), true)
+		f.store.SetIsolated(f.name(node), true)
 		time.Sleep(duration)
-		f.store.SetCut(f.name(node), false)
+		f.store.SetIsolated(f.name(node), false)
 	case 12:
 		f.setPaused(f.name(node), true)
 		time.Sleep(duration)
@@ -118,7 +118,7 @@
 	primary := f.group.Primary()
 	set := func(on bool) {
 		f.setCutOff(f.name(node), on)
-		primary.SetSevered(on)
+		primary.SetSendBlocked(on)
 		for i := range f.listeners {
 			if i != node {
 				f.setCut(i, primary.ID(), on)
@@ -185,7 +185,7 @@
 func simulatedRuns(t *testing.T) int {
 	t.Helper()
 	const usual = 12
-	return int(propertytest.Plays(t, "DEWKNOT_SIMULATED_DAYS", usual))
+	return int(propertytest.Runs(t, "DEWKNOT_SIMULATED_DAYS", usual))
 }
 
 func firstSeed(t *testing.T) uint64 {
@@ -275,9 +275,9 @@
 		fleet := newFleet(5, 0, nothingBroken)
 		time.Sleep(8 * time.Second)
 		for name, node := range fleet.nodes {
-			must.Eq(t, 4, node.KnownMembers(), must.Sprint(name))
+			must.Eq(t, 4, node.KnownMemberCount(), must.Sprint(name))
 		}
-		must.LessEq(t, 2, fleet.store.Creations(managed.LeaseKind))
+		must.LessEq(t, 2, fleet.store.CreateAttempts(managed.LeaseKind))
 		must.Eq(t, 1, fleet.store.Count(managed.LeaseKind))
 		fleet.end()
 	})
@@ -294,13 +294,13 @@
 		time.Sleep(5 * time.Minute)
 		must.Eq(t, 4, fleet.store.Count(managed.MemberKind))
 		for name, node := range fleet.nodes {
-			must.Eq(t, 3, node.KnownMembers(), must.Sprint(name))
+			must.Eq(t, 3, node.KnownMemberCount(), must.Sprint(name))
 		}
 		fleet.startNode(2)
 		time.Sleep(2 * time.Minute)
 		must.Eq(t, 5, fleet.store.Count(managed.MemberKind))
 		for name, node := range fleet.nodes {
-			must.Eq(t, 4, node.KnownMembers(), must.Sprint(name))
+			must.Eq(t, 4, node.KnownMemberCount(), must.Sprint(name))
 		}
 		fleet.end()
 	})
@@ -312,7 +312,7 @@
 	bubbletest.Test(t, func(t *testing.T) {
 		fleet := newFleet(3, 0, nothingBroken)
 		time.Sleep(8 * time.Second)
-		fleet.group.Server(2).SetDeaf(true)
+		fleet.group.Server(2).SetReceiveBlocked(true)
 		driver := fleet.caller("c", rand.New(rand.NewPCG(1, 1)))
 		driver.Run(time.Now().Add(3 * time.Second))
 		busy := fleet.group.Server(1)
--- a/internal/proxy/start.go
+++ b/internal/proxy/start.go
@@ -21,9 +21,9 @@
 	if view := n.Tenures.View(service); view == nil || view.Tenure.Ballot == 0 {
 		s := n.Service(service)
 		// From now on this node monitors the service: its lease holder may be gone.
-		s.Used(now)
-		s.Warm(principal)
-		n.Tenures.AwaitFirst(service, now.Add(firstTenureTimeout))
+		s.MarkUsed(now)
+		s.Prewarm(principal)
+		n.Tenures.AwaitFirstTenure(service, now.Add(firstTenureTimeout))
 		n.delayStart(now)
 	}
 }
@@ -38,7 +38,7 @@
 	timer := time.NewTimer(time.Until(now.Add(startTimeout)))
 	defer timer.Stop()
 	select {
-	case <-n.Informed:
+	case <-n.CatalogLoaded:
 	case <-timer.C:
 	}
 }
--- a/internal/proxy/stop.go
+++ b/internal/proxy/stop.go
@@ -27,7 +27,7 @@
 func (n *Node) stop(listener net.Listener) {
 	began := time.Now()
 	n.Stopping.Store(true)
-	n.Owner.Leave()
+	n.Owner.AnnounceLeaving()
 	if n.quotas != nil {
 		n.quotas.Leave()
 	}
--- a/internal/proxy/tenants_test.go
+++ b/internal/proxy/tenants_test.go
@@ -134,7 +134,7 @@
 	bubbletest.Test(t, func(t *testing.T) {
 		fleet := newFleet(fewNodes, 0, nothingBroken)
 		time.Sleep(3 * time.Second)
-		fleet.store.SetCut("node-2", true)
+		fleet.store.SetIsolated("node-2", true)
 		session, _ := fleet.open(t, 2, "session", "amber-key-7f31")
 		fleet.store.Put(managed.ConfigurationKind, "main", testConfiguration(2, without("amber")))
 		time.Sleep(4 * time.Second)
@@ -149,7 +149,7 @@
 	bubbletest.Test(t, func(t *testing.T) {
 		fleet := newFleet(fewNodes, 0, nothingBroken)
 		time.Sleep(3 * time.Second)
-		fleet.store.SetCut("node-2", true)
+		fleet.store.SetIsolated("node-2", true)
 		time.Sleep(1500 * time.Millisecond)
 		keys := maps.Clone(testTenants)
 		keys["amber"] = append([]string{"amber-key-new"}, keys["amber"]...)
@@ -238,7 +238,7 @@
 			time.Sleep(3 * time.Second)
 			session, refusal := fleet.open(t, 0, "session", "amber-key-7f31")
 			must.Nil(t, refusal)
-			fleet.store.SetCut("node-0", true)
+			fleet.store.SetIsolated("node-0", true)
 			// A watch that takes up to 2.2 s counts as heard from its beginning.
 			time.Sleep(2 * time.Second)
 			must.Nil(t, ask(session, command.Read, "r1", "READ seat"))
@@ -249,7 +249,7 @@
 			} else {
 				must.Eq(t, failure.Isolated, kindOf(reason))
 				must.True(t, reason.Kind.NotRun())
-				fleet.store.SetCut("node-0", false)
+				fleet.store.SetIsolated("node-0", false)
 				time.Sleep(3 * time.Second)
 				must.Nil(t, ask(session, command.Read, "r3", "READ seat"))
 			}
--- a/internal/proxy/tenure/keeper.go
+++ b/internal/proxy/tenure/keeper.go
@@ -59,20 +59,20 @@
 	Address string
 	// Capacity is this node's, as in Peer.
 	Capacity float64
-	// Life is unique to the node's process.
-	Life  uint64
-	Store objectstore.Store
+	// Incarnation is unique to the node's process.
+	Incarnation uint64
+	Store       objectstore.Store
 	// StoreEra returns the latest known era of the store.
 	StoreEra func() uint64
 	Kind     string
 	Sender   Sender
 	// Peers returns the other known nodes, or nil before the first list of them is loaded.
 	Peers func() []Peer
-	// Changed is called when a service's view changes.
-	Changed func(service string)
-	// Voiced is called when the records of a majority of voters become complete.
-	Voiced func()
-	Log    *eventlog.Log
+	// OnViewChanged is called when a service's view changes.
+	OnViewChanged func(service string)
+	// OnVotersReady is called when the records of a majority of voters become complete.
+	OnVotersReady func()
+	Log           *eventlog.Log
 }
 
 // Keeper runs a node's part of the agreement. It is safe for concurrent use.
@@ -113,8 +113,8 @@
 func New(cfg Config) *Keeper {
 	now := time.Now()
 	return &Keeper{
-		cfg: cfg, started: now, voter: quorum.NewVoter(cfg.Name, cfg.Life, now),
-		member: quorum.NewMember(cfg.Name, cfg.Life, now), sequence: quorum.FirstSequence(cfg.Life),
+		cfg: cfg, started: now, voter: quorum.NewVoter(cfg.Name, cfg.Incarnation, now),
+		member: quorum.NewMember(cfg.Name, cfg.Incarnation, now), sequence: quorum.FirstSequence(cfg.Incarnation),
 		rounds: map[uint64]*round{}, incarnations: map[string]peerIncarnation{},
 		progress: make(chan struct{}), wake: make(chan struct{}, 1),
 	}
@@ -161,17 +161,17 @@
 // dueRequests returns the requests to voters that are due, and when the next ones are. k.mu must be
 // held.
 func (k *Keeper) dueRequests(now time.Time) ([]quorum.Envelope, time.Time) {
-	if table := k.member.Table(); table != nil && !k.member.Placed() {
+	if table := k.member.Table(); table != nil && !k.member.HasDistances() {
 		k.member.SetDistances(k.distances(table))
 	}
-	mode := quorum.Calm
+	mode := quorum.RenewNormal
 	switch {
 	case k.voter.Recovering():
-		mode = quorum.Urgent
+		mode = quorum.RenewRecovering
 	case now.Sub(k.allVotersRequestedAt) < eagerDuration:
-		mode = quorum.Wide
+		mode = quorum.RenewEagerAll
 	case now.Sub(k.leasesRequestedAt) < eagerDuration:
-		mode = quorum.Eager
+		mode = quorum.RenewEager
 	}
 	return k.member.Due(now, mode)
 }
@@ -208,7 +208,7 @@
 		votersReady = !before && k.hasVoterMajority()
 		out = append(out, k.handleTable(from, m)...)
 		k.recoverVoter(now)
-		if !k.member.Settled() {
+		if !k.member.AllComplete() {
 			// The voters that have answered can be asked again sooner than the others.
 			k.wakeUp()
 		}
@@ -224,7 +224,7 @@
 	k.send(out)
 	k.notifyChanged(changed)
 	if votersReady {
-		k.cfg.Voiced()
+		k.cfg.OnVotersReady()
 	}
 }
 
@@ -247,15 +247,15 @@
 		view := k.View(service)
 		k.cfg.Log.Write(eventlog.TenureChanged, zap.String("service", service), zap.Uint64("ballot", view.Tenure.Ballot),
 			zap.String("primary", view.Tenure.Primary), zap.Bool("open", view.Open))
-		k.cfg.Changed(service)
+		k.cfg.OnViewChanged(service)
 	}
 }
 
 // announcement returns a message that tells a node the table. k.mu must be held.
 func (k *Keeper) announcement(name string, sequence uint64) quorum.Message {
-	m := quorum.Message{Kind: quorum.Announce, From: k.cfg.Name, Life: k.cfg.Life, Sequence: sequence}
+	m := quorum.Message{Kind: quorum.Announce, From: k.cfg.Name, Incarnation: k.cfg.Incarnation, Sequence: sequence}
 	if table := k.voter.Table(); table != nil {
-		m.Era, m.Table = table.Era, table.Told(name)
+		m.Generation, m.Table = table.Generation, table.ForNode(name)
 	}
 	return m
 }
@@ -264,13 +264,13 @@
 // a sender with an older table. k.mu must be held.
 func (k *Keeper) handleTable(from string, m *quorum.Message) []quorum.Envelope {
 	if m.Kind == quorum.Announce {
-		k.incarnations[m.From] = peerIncarnation{m.Life, time.Now()}
+		k.incarnations[m.From] = peerIncarnation{m.Incarnation, time.Now()}
 	}
 	known := k.voter.Table()
-	if m.Table != nil && (known == nil || m.Table.Era > known.Era) {
+	if m.Table != nil && (known == nil || m.Table.Generation > known.Generation) {
 		k.adopt(m.Table)
 	}
-	if m.Kind == quorum.Unable && known != nil && m.Era < known.Era {
+	if m.Kind == quorum.Unable && known != nil && m.Generation < known.Generation {
 		return []quorum.Envelope{{To: from, Message: k.announcement(m.From, 0)}}
 	}
 	return nil
@@ -280,7 +280,7 @@
 // voter needs them to start the generation, adopt reads it from the store instead. k.mu must be
 // held.
 func (k *Keeper) adopt(table *quorum.Table) {
-	if entry := table.Seat(k.cfg.Name); entry != nil && entry.Life == k.cfg.Life && !table.Whole() {
+	if entry := table.VoterEntry(k.cfg.Name); entry != nil && entry.Incarnation == k.cfg.Incarnation && !table.Complete() {
 		k.fetchSoon()
 		return
 	}
@@ -291,7 +291,7 @@
 // install replaces the table by a newer one. k.mu must be held.
 func (k *Keeper) install(now time.Time, table *quorum.Table) {
 	known := k.voter.Table()
-	if known != nil && table.Era <= known.Era {
+	if known != nil && table.Generation <= known.Generation {
 		return
 	}
 	k.voter.Install(now, table)
@@ -299,7 +299,7 @@
 	changed := k.publish(k.member.SetTable(now, table))
 	go k.notifyChanged(changed)
 	k.wakeUp()
-	k.cfg.Log.Write(eventlog.VotersChanged, zap.Uint64("era", table.Era), zap.Int("voters", len(table.Seats)),
+	k.cfg.Log.Write(eventlog.VotersChanged, zap.Uint64("era", table.Generation), zap.Int("voters", len(table.Entries)),
 		zap.Bool("voting", k.voter.Normal()), zap.Int("records", len(table.Records)))
 }
 
@@ -310,8 +310,8 @@
 		return
 	}
 	table := k.voter.Table()
-	if k.voter.Recover(now, table.Era, k.member.Holdings(k.voter.RecoversAfter())) {
-		k.cfg.Log.Write(eventlog.VoterRecovered, zap.Uint64("era", table.Era), zap.Duration("age", k.voter.Age(now)))
+	if k.voter.Recover(now, table.Generation, k.member.RecordSets(k.voter.RecoversAfter())) {
+		k.cfg.Log.Write(eventlog.VoterRecovered, zap.Uint64("era", table.Generation), zap.Duration("age", k.voter.Age(now)))
 	}
 }
 
--- a/internal/proxy/tenure/keeper_test.go
+++ b/internal/proxy/tenure/keeper_test.go
@@ -86,8 +86,8 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	zone, region := n.location(name)
 	k := New(Config{
-		Name: name, Zone: zone, Region: region, Address: name, Life: n.incarnations, Store: n.store.Client(name), Kind: managed.VoterKind,
-		Sender: &endpoint{n, name}, Peers: func() []Peer { return n.peersOf(name) }, StoreEra: n.store.Era, Changed: func(string) {}, Voiced: func() {}, Log: n.log,
+		Name: name, Zone: zone, Region: region, Address: name, Incarnation: n.incarnations, Store: n.store.Client(name), Kind: managed.VoterKind,
+		Sender: &endpoint{n, name}, Peers: func() []Peer { return n.peersOf(name) }, StoreEra: n.store.Era, OnViewChanged: func(string) {}, OnVotersReady: func() {}, Log: n.log,
 	})
 	n.keepers[name], n.cancels[name] = k, cancel
 	go k.Run(ctx)
@@ -161,7 +161,7 @@
 		n := newNetwork(6)
 		time.Sleep(6 * time.Second)
 		must.Eq(t, 1, n.store.Count(managed.VoterKind))
-		leastBallot, noMajority := n.keepers["k3"].Standing()
+		leastBallot, noMajority := n.keepers["k3"].VoterStatus()
 		must.False(t, noMajority)
 		must.Positive(t, leastBallot)
 		openTenure(t, n.keepers["k3"], leastBallot+1, "a")
@@ -195,16 +195,16 @@
 		n := newNetwork(7)
 		time.Sleep(6 * time.Second)
 		table := n.keepers["k0"].table()
-		must.Len(t, quorum.MaxVoters, table.Seats)
+		must.Len(t, quorum.MaxVoters, table.Entries)
 		openTenure(t, n.keepers["k0"], table.LeastBallot()+1, "a")
-		lostVoter := table.Seats[0].Name
+		lostVoter := table.Entries[0].Name
 		n.kill(lostVoter)
 		time.Sleep(8 * time.Second)
 		for name, k := range n.keepers {
 			after := k.table()
-			must.Eq(t, table.Era+1, after.Era, must.Sprint(name))
-			must.Len(t, quorum.MaxVoters, after.Seats)
-			must.Nil(t, after.Seat(lostVoter))
+			must.Eq(t, table.Generation+1, after.Generation, must.Sprint(name))
+			must.Len(t, quorum.MaxVoters, after.Entries)
+			must.Nil(t, after.VoterEntry(lostVoter))
 			must.True(t, k.View("s").Covers(time.Now()), must.Sprint(name))
 		}
 		n.stop()
@@ -230,12 +230,12 @@
 		time.Sleep(100 * time.Millisecond)
 		n.store.SetDown(true)
 		time.Sleep(3 * time.Second)
-		_, noMajority := n.keepers["k0"].Standing()
+		_, noMajority := n.keepers["k0"].VoterStatus()
 		must.True(t, noMajority)
 		n.store.SetDown(false)
 		time.Sleep(1500 * time.Millisecond)
 		for name, k := range n.keepers {
-			leastBallot, noMajority := k.Standing()
+			leastBallot, noMajority := k.VoterStatus()
 			must.False(t, noMajority, must.Sprint(name))
 			must.Greater(t, before.LeastBallot(), leastBallot, must.Sprint(name))
 			view := k.View("s")
@@ -255,7 +255,7 @@
 	for i := 30; i < 35; i++ {
 		peers[i].Capacity = 4
 	}
-	table := &quorum.Table{Era: 1, Seats: []quorum.Seat{{Name: "n01"}, {Name: "n39"}}}
+	table := &quorum.Table{Generation: 1, Entries: []quorum.VoterEntry{{Name: "n01"}, {Name: "n39"}}}
 	chosen := inquiryTargets(peers, table, inquiryPeers)
 	must.SliceContainsSubset(t, chosen, []string{"n01", "n30", "n31", "n32", "n33", "n34", "n39"})
 	must.Between(t, inquiryPeers, len(chosen), inquiryPeers+2)
--- a/internal/proxy/tenure/leases.go
+++ b/internal/proxy/tenure/leases.go
@@ -36,8 +36,8 @@
 	return covered
 }
 
-// AwaitFirst waits until this process first learns a tenure of a service, or until the deadline.
-func (k *Keeper) AwaitFirst(service string, deadline time.Time) {
+// AwaitFirstTenure waits until this process first learns a tenure of a service, or until the deadline.
+func (k *Keeper) AwaitFirstTenure(service string, deadline time.Time) {
 	k.waitWhile(func() time.Duration {
 		if view := k.View(service); view != nil && view.Tenure.Ballot > 0 {
 			return 0
@@ -87,7 +87,7 @@
 
 // isolationTimeout is how long a majority of voters has to be silent before a node counts as
 // isolated. By then its leases have expired, and a restart of the voters would be over.
-const isolationTimeout = quorum.LeaseSpan + 600*time.Millisecond
+const isolationTimeout = quorum.LeaseDuration + 600*time.Millisecond
 
 // Isolated reports whether this node has not heard from a majority of voters for isolationTimeout.
 // It cannot use any primary then, while other nodes probably can.
@@ -95,12 +95,12 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	table := k.member.Table()
-	return table != nil && k.member.Heard(now, isolationTimeout) < table.Majority()
+	return table != nil && k.member.ReachableVoters(now, isolationTimeout) < table.Majority()
 }
 
-// Standing returns the lowest ballot of the table's generation, and whether less than a majority of
+// VoterStatus returns the lowest ballot of the table's generation, and whether less than a majority of
 // voters is known to have complete records. Candidates get no majority then.
-func (k *Keeper) Standing() (leastBallot uint64, noMajority bool) {
+func (k *Keeper) VoterStatus() (leastBallot uint64, noMajority bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if table := k.member.Table(); table != nil {
@@ -113,11 +113,11 @@
 // k.mu must be held.
 func (k *Keeper) hasVoterMajority() bool {
 	table := k.member.Table()
-	return table != nil && k.member.Whole() >= table.Majority()
+	return table != nil && k.member.CompleteVoters() >= table.Majority()
 }
 
-// Account describes a node's leases for a service, for logs.
-type Account struct {
+// LeaseStatus describes a node's leases for a service, for logs.
+type LeaseStatus struct {
 	// Ballot is the ballot of the last known tenure, Highest the highest one that a voter promised.
 	Ballot  uint64 `json:"ballot"`
 	Highest uint64 `json:"highest"`
@@ -134,13 +134,13 @@
 	MissedRequests int           `json:"misses"`
 }
 
-// Account describes this node's leases for a service at a time.
-func (k *Keeper) Account(service string, at time.Time) Account {
+// LeaseStatus describes this node's leases for a service at a time.
+func (k *Keeper) LeaseStatus(service string, at time.Time) LeaseStatus {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	var status Account
+	var status LeaseStatus
 	if table := k.member.Table(); table != nil {
-		status.Voters, status.CompleteVoters = len(table.Seats), k.member.KnownVoters()
+		status.Voters, status.CompleteVoters = len(table.Entries), k.member.CompleteVoterNames()
 	}
 	status.RTT, status.MissedRequests = k.member.Delay()
 	if view := k.View(service); view != nil {
--- a/internal/proxy/tenure/manyservices_test.go
+++ b/internal/proxy/tenure/manyservices_test.go
@@ -18,7 +18,7 @@
 // openServices opens a tenure of each of many services through one keeper.
 func openServices(t *testing.T, k *Keeper, services int) {
 	t.Helper()
-	leastBallot, _ := k.Standing()
+	leastBallot, _ := k.VoterStatus()
 	var opening sync.WaitGroup
 	for i := range services {
 		opening.Go(func() {
@@ -58,16 +58,16 @@
 		}
 		time.Sleep(6 * time.Second)
 		table := n.keepers["k0"].table()
-		must.Len(t, quorum.MaxVoters, table.Seats)
+		must.Len(t, quorum.MaxVoters, table.Entries)
 		openServices(t, n.keepers["k0"], services)
 		time.Sleep(3 * time.Second)
 		for name, k := range n.keepers {
 			must.Zero(t, uncovered(k, services), must.Sprint(name))
 		}
-		n.kill(table.Seats[0].Name)
+		n.kill(table.Entries[0].Name)
 		time.Sleep(silenceTimeout + changeTimeout)
 		for name, k := range n.keepers {
-			must.Eq(t, table.Era+1, k.table().Era, must.Sprint(name))
+			must.Eq(t, table.Generation+1, k.table().Generation, must.Sprint(name))
 			must.Zero(t, uncovered(k, services), must.Sprint(name))
 		}
 		n.stop()
--- a/internal/proxy/tenure/nearest_test.go
+++ b/internal/proxy/tenure/nearest_test.go
@@ -24,13 +24,13 @@
 		}
 		time.Sleep(6 * time.Second)
 		table := n.anyKeeper().table()
-		must.Len(t, quorum.MaxVoters, table.Seats)
+		must.Len(t, quorum.MaxVoters, table.Entries)
 		openServices(t, n.keepers["k0"], services)
 		time.Sleep(3 * time.Second)
 		complete, members := 0, 0
 		for name, k := range n.keepers {
 			must.Zero(t, uncovered(k, services), must.Sprint(name))
-			if table.Seat(name) == nil {
+			if table.VoterEntry(name) == nil {
 				complete += len(k.completeVoters())
 				members++
 			}
@@ -38,9 +38,9 @@
 		// A member may have replaced a voter that answered late, and know one voter more.
 		must.Between(t, table.Majority()*members, complete, (table.Majority()*members)+members/4)
 		// The members that learned from a lost voter ask another one in time.
-		lostVoter := table.Seats[0].Name
+		lostVoter := table.Entries[0].Name
 		n.setSilent(lostVoter, true)
-		time.Sleep(quorum.LeaseSpan)
+		time.Sleep(quorum.LeaseDuration)
 		for name, k := range n.keepers {
 			if name != lostVoter {
 				must.Zero(t, uncovered(k, services), must.Sprint(name))
@@ -65,7 +65,7 @@
 		var member *Keeper
 		nearVoters := map[string]bool{}
 		for name, k := range n.keepers {
-			if table.Seat(name) != nil {
+			if table.VoterEntry(name) != nil {
 				continue
 			}
 			member = k
@@ -76,8 +76,8 @@
 			}
 			break
 		}
-		candidate := n.keepers[table.Seats[0].Name]
-		for _, entry := range table.Seats {
+		candidate := n.keepers[table.Entries[0].Name]
+		for _, entry := range table.Entries {
 			if !nearVoters[entry.Name] {
 				candidate = n.keepers[entry.Name]
 			}
@@ -107,5 +107,5 @@
 func (k *Keeper) completeVoters() []string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.member.KnownVoters()
+	return k.member.CompleteVoterNames()
 }
--- a/internal/proxy/tenure/round.go
+++ b/internal/proxy/tenure/round.go
@@ -28,9 +28,9 @@
 	Highest uint64
 	// Records are those of the voters that agreed.
 	Records []quorum.Record
-	// Loose is the server of an unconfirmed order, which may still be carried out during LooseFor.
-	Loose    string
-	LooseFor time.Duration
+	// Unconfirmed is the server of an unconfirmed order, which may still be carried out during UnconfirmedFor.
+	Unconfirmed    string
+	UnconfirmedFor time.Duration
 	// Clear is set if no leases of the previous tenure are left at a majority of voters.
 	Clear bool
 }
@@ -71,7 +71,7 @@
 
 // Prepare asks the voters to promise a ballot for a service, which closes its tenure.
 func (k *Keeper) Prepare(service string, ballot uint64) Result {
-	return k.runRound(quorum.Message{Kind: quorum.Prepare, Service: service, Ballot: ballot}, quorum.Promised, false, quorum.CountSpan)
+	return k.runRound(quorum.Message{Kind: quorum.Prepare, Service: service, Ballot: ballot}, quorum.Promised, false, quorum.AnswerWindow)
 }
 
 // AwaitClear waits until a majority of voters has no leases left of the tenure that a ballot
@@ -84,16 +84,16 @@
 // follows.
 func (k *Keeper) Choose(service string, tenure quorum.Tenure, ordering bool) Result {
 	request := quorum.Message{Kind: quorum.Choose, Service: service, Ballot: tenure.Ballot, Primary: tenure.Primary, Ordering: ordering}
-	return k.runRound(request, quorum.Chosen, false, quorum.CountSpan)
+	return k.runRound(request, quorum.Chosen, false, quorum.AnswerWindow)
 }
 
 // Open asks the voters to grant leases for a tenure with the primary's term. unconfirmed means that
 // an order for it was not answered.
 func (k *Keeper) Open(service string, tenure quorum.Tenure, term uint64, unconfirmed bool) Result {
 	request := quorum.Message{
-		Kind: quorum.Open, Service: service, Ballot: tenure.Ballot, Primary: tenure.Primary, Term: term, Loose: unconfirmed,
+		Kind: quorum.Open, Service: service, Ballot: tenure.Ballot, Primary: tenure.Primary, Term: term, Unconfirmed: unconfirmed,
 	}
-	return k.runRound(request, quorum.Opened, false, quorum.CountSpan)
+	return k.runRound(request, quorum.Opened, false, quorum.AnswerWindow)
 }
 
 // runRound asks all voters, and waits until a majority has agreed or no longer can.
@@ -136,7 +136,7 @@
 		return nil
 	}
 	k.sequence++
-	request.From, request.Life, request.Era, request.Sequence = k.cfg.Name, k.cfg.Life, table.Era, k.sequence
+	request.From, request.Incarnation, request.Generation, request.Sequence = k.cfg.Name, k.cfg.Incarnation, table.Generation, k.sequence
 	k.rounds[k.sequence] = r
 	return table
 }
@@ -152,7 +152,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	var out []quorum.Envelope
-	for _, entry := range table.Seats {
+	for _, entry := range table.Entries {
 		if _, agreed := r.answers[entry.Name]; !agreed {
 			out = append(out, quorum.Envelope{To: entry.Address, Message: request})
 		}
@@ -168,8 +168,8 @@
 	clearCount := 0
 	for _, m := range r.answers {
 		result.Records = append(result.Records, m.Records...)
-		if m.LooseFor > result.LooseFor && len(m.Records) > 0 {
-			result.Loose, result.LooseFor = m.Records[0].Loose, m.LooseFor
+		if m.UnconfirmedFor > result.UnconfirmedFor && len(m.Records) > 0 {
+			result.Unconfirmed, result.UnconfirmedFor = m.Records[0].Unconfirmed, m.UnconfirmedFor
 		}
 		if m.Clear || m.Kind == quorum.Cleared {
 			clearCount++
@@ -179,6 +179,6 @@
 	for _, m := range r.denied {
 		result.Highest = max(result.Highest, m.Ballot)
 	}
-	rejected := len(r.denied) > len(table.Seats)-table.Majority()
+	rejected := len(r.denied) > len(table.Entries)-table.Majority()
 	return result, result.Agreed || rejected
 }
--- a/internal/proxy/tenure/slowlink_test.go
+++ b/internal/proxy/tenure/slowlink_test.go
@@ -74,7 +74,7 @@
 		k := n.keepers[fmt.Sprintf("k%d", 7+i)]
 		go func() {
 			service := fmt.Sprintf("service-%d", i)
-			for ballot, _ := k.Standing(); time.Now().Before(until); ballot++ {
+			for ballot, _ := k.VoterStatus(); time.Now().Before(until); ballot++ {
 				if view := k.View(service); view != nil {
 					ballot = max(ballot, view.Highest)
 				}
--- a/internal/proxy/tenure/table.go
+++ b/internal/proxy/tenure/table.go
@@ -74,9 +74,9 @@
 			if reason == noChange {
 				continue
 			}
-			generation := k.table().Era
+			generation := k.table().Generation
 			k.changeGeneration(ctx, reason)
-			if k.table().Era > generation {
+			if k.table().Generation > generation {
 				backoff = 0
 			} else {
 				backoff = min(max(minChangeBackoff, 2*backoff), maxChangeBackoff)
@@ -137,7 +137,7 @@
 // installStored installs the table from its object in the store.
 func (k *Keeper) installStored(object objectstore.Object) {
 	table := &quorum.Table{}
-	if err := json.Unmarshal(object.Content, table); err != nil || len(table.Seats) == 0 {
+	if err := json.Unmarshal(object.Content, table); err != nil || len(table.Entries) == 0 {
 		k.cfg.Log.Write(eventlog.VotersRefused, zap.Stringer("revision", object.Revision), zap.Error(err))
 		return
 	}
@@ -151,7 +151,7 @@
 func (k *Keeper) write(ctx context.Context, table *quorum.Table, revision era.Revision) {
 	content, err := json.Marshal(table)
 	if err != nil {
-		k.cfg.Log.Write(eventlog.VotersRefused, zap.Uint64("era", table.Era), zap.Error(err))
+		k.cfg.Log.Write(eventlog.VotersRefused, zap.Uint64("era", table.Generation), zap.Error(err))
 		return
 	}
 	timeoutCtx, cancel := context.WithTimeout(ctx, storeTimeout)
@@ -163,7 +163,7 @@
 		object, err = k.cfg.Store.Replace(timeoutCtx, k.cfg.Kind, tableName, revision, content)
 	}
 	if err != nil {
-		k.cfg.Log.Write(eventlog.VotersRefused, zap.Uint64("era", table.Era), zap.Error(err))
+		k.cfg.Log.Write(eventlog.VotersRefused, zap.Uint64("era", table.Generation), zap.Error(err))
 		k.mu.Lock()
 		k.tableRevision = 0
 		k.mu.Unlock()
@@ -184,7 +184,7 @@
 func (k *Keeper) announce(table *quorum.Table, written bool) {
 	var voters, others []Peer
 	for _, peer := range k.cfg.Peers() {
-		if table.Seat(peer.Name) != nil {
+		if table.VoterEntry(peer.Name) != nil {
 			voters = append(voters, peer)
 		} else {
 			others = append(others, peer)
@@ -194,8 +194,8 @@
 		k.sendTable(voters, table)
 	}
 	if len(others) > maxDirectAnnouncements {
-		voterIndex := slices.IndexFunc(table.Seats, func(entry quorum.Seat) bool { return entry.Name == k.cfg.Name })
-		others = shareOf(others, voterIndex, len(table.Seats))
+		voterIndex := slices.IndexFunc(table.Entries, func(entry quorum.VoterEntry) bool { return entry.Name == k.cfg.Name })
+		others = shareOf(others, voterIndex, len(table.Entries))
 	} else if !written {
 		return
 	}
@@ -216,7 +216,7 @@
 
 func (k *Keeper) sendTable(peers []Peer, table *quorum.Table) {
 	for _, peer := range peers {
-		m := quorum.Message{Kind: quorum.Announce, From: k.cfg.Name, Life: k.cfg.Life, Era: table.Era, Table: table.Told(peer.Name)}
+		m := quorum.Message{Kind: quorum.Announce, From: k.cfg.Name, Incarnation: k.cfg.Incarnation, Generation: table.Generation, Table: table.ForNode(peer.Name)}
 		k.cfg.Sender.SendMessage(peer.Address, &m)
 	}
 }
@@ -227,11 +227,11 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	table := k.voter.Table()
-	if table.Seat(k.cfg.Name) == nil || k.member.Table() != table {
+	if table.VoterEntry(k.cfg.Name) == nil || k.member.Table() != table {
 		return false
 	}
-	silent := k.member.Silent(now, deputyTimeout, firstAnswerTimeout)
-	for _, entry := range table.Seats {
+	silent := k.member.SilentVoters(now, deputyTimeout, firstAnswerTimeout)
+	for _, entry := range table.Entries {
 		if !slices.Contains(silent, entry.Name) {
 			return entry.Name == k.cfg.Name
 		}
@@ -261,27 +261,27 @@
 	if table.StoreEra < k.cfg.StoreEra() {
 		return inoperable
 	}
-	lostVoters := k.member.Lost(now, deputyTimeout)
+	lostVoters := k.member.VotersWithoutState(now, deputyTimeout)
 	if k.voter.Recovering() {
-		if k.voter.Age(now) < quorum.LostSpan {
+		if k.voter.Age(now) < quorum.StateLossAge {
 			return noChange
 		}
 		lostVoters++
 	}
-	if len(table.Seats)-lostVoters < table.Majority() || k.voter.Sealed() {
+	if len(table.Entries)-lostVoters < table.Majority() || k.voter.Sealed() {
 		return inoperable
 	}
 	if !k.voter.Normal() {
 		return noChange
 	}
-	silent := len(k.member.Silent(now, silenceTimeout, silenceTimeout)) > 0
+	silent := len(k.member.SilentVoters(now, silenceTimeout, silenceTimeout)) > 0
 	if now.Sub(*lastGrowthCheck) < growInterval && !silent {
 		return noChange
 	}
 	first := lastGrowthCheck.IsZero()
 	*lastGrowthCheck = now
 	nodes := len(k.cfg.Peers()) + 1
-	if (silent && nodes > len(table.Seats)) || (!first && (len(table.Seats) < voterCountFor(nodes) || k.unbalanced(table.Seats))) {
+	if (silent && nodes > len(table.Entries)) || (!first && (len(table.Entries) < voterCountFor(nodes) || k.unbalanced(table.Entries))) {
 		return improvement
 	}
 	return noChange
@@ -297,7 +297,7 @@
 	var alive []Peer
 	if reason == improvement {
 		alive = k.inquire(ctx, inquiryPeers, time.Now())
-		if sameVoters(before.Seats, k.selectVoters(before, alive)) {
+		if sameVoters(before.Entries, k.selectVoters(before, alive)) {
 			return
 		}
 	}
@@ -321,17 +321,17 @@
 	}
 	storeEra := k.cfg.StoreEra()
 	k.write(ctx, &quorum.Table{
-		Era: table.NextEra(storeEra), StoreEra: storeEra, Seats: k.selectVoters(table, alive), Records: records, Count: len(records),
+		Generation: table.NextGeneration(storeEra), StoreEra: storeEra, Entries: k.selectVoters(table, alive), Records: records, Count: len(records),
 	}, revision)
 }
 
 // sameVoters reports whether two lists name the same voters.
-func sameVoters(a, b []quorum.Seat) bool {
+func sameVoters(a, b []quorum.VoterEntry) bool {
 	if len(a) != len(b) {
 		return false
 	}
 	for i := range a {
-		if !slices.ContainsFunc(b, func(entry quorum.Seat) bool { return entry.Name == a[i].Name }) {
+		if !slices.ContainsFunc(b, func(entry quorum.VoterEntry) bool { return entry.Name == a[i].Name }) {
 			return false
 		}
 	}
@@ -360,7 +360,7 @@
 	timeoutCtx, cancel := context.WithTimeout(ctx, sealTimeout)
 	defer cancel()
 	pause := sealRetryInterval
-	k.send(sealing.Questions(k.cfg.Name, k.cfg.Life, sequence))
+	k.send(sealing.Requests(k.cfg.Name, k.cfg.Incarnation, sequence))
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
 	for {
@@ -377,13 +377,13 @@
 			if !added {
 				continue
 			}
-			k.send(sealing.Next(&m, k.cfg.Name, k.cfg.Life, sequence))
+			k.send(sealing.NextRequests(&m, k.cfg.Name, k.cfg.Incarnation, sequence))
 			pause = sealRetryInterval
 		case <-timer.C:
-			k.send(sealing.Questions(k.cfg.Name, k.cfg.Life, sequence))
+			k.send(sealing.Requests(k.cfg.Name, k.cfg.Incarnation, sequence))
 			pause *= 2
 		case <-timeoutCtx.Done():
-			k.cfg.Log.Write(eventlog.EraNotEnded, zap.Uint64("era", table.Era), zap.Any("told", sealing.Told()))
+			k.cfg.Log.Write(eventlog.EraNotEnded, zap.Uint64("era", table.Generation), zap.Any("told", sealing.RecordCounts()))
 			return nil, false
 		}
 		timer.Reset(pause)
--- a/internal/proxy/tenure/voters.go
+++ b/internal/proxy/tenure/voters.go
@@ -52,7 +52,7 @@
 	}
 	var noTable *quorum.Table
 	storeEra := k.cfg.StoreEra()
-	k.write(ctx, &quorum.Table{Era: noTable.NextEra(storeEra), StoreEra: storeEra, Seats: voters}, 0)
+	k.write(ctx, &quorum.Table{Generation: noTable.NextGeneration(storeEra), StoreEra: storeEra, Entries: voters}, 0)
 }
 
 // createsTable reports whether this node has to create the first table. Nodes with the same list of
@@ -72,7 +72,7 @@
 	chosen := inquiryTargets(peers, k.table(), count)
 	for _, peer := range peers {
 		if slices.Contains(chosen, peer.Name) {
-			k.cfg.Sender.SendMessage(peer.Address, &quorum.Message{Kind: quorum.Inquire, From: k.cfg.Name, Life: k.cfg.Life})
+			k.cfg.Sender.SendMessage(peer.Address, &quorum.Message{Kind: quorum.Inquire, From: k.cfg.Name, Incarnation: k.cfg.Incarnation})
 		}
 	}
 	alive := k.alive(peers, since)
@@ -125,7 +125,7 @@
 		return chosen
 	}
 	for _, peer := range peers {
-		if table.Seat(peer.Name) != nil && !slices.Contains(chosen, peer.Name) {
+		if table.VoterEntry(peer.Name) != nil && !slices.Contains(chosen, peer.Name) {
 			chosen = append(chosen, peer.Name)
 		}
 	}
@@ -154,7 +154,7 @@
 func (k *Keeper) distances(table *quorum.Table) map[string]int {
 	known := k.locations(k.cfg.Peers())
 	var distances map[string]int
-	for _, entry := range table.Seats {
+	for _, entry := range table.Entries {
 		peer, found := known[entry.Name]
 		if !found {
 			continue
@@ -198,7 +198,7 @@
 
 // unbalanced reports whether the voters would lose their majority with one zone or region although
 // the known nodes allow a better selection.
-func (k *Keeper) unbalanced(voters []quorum.Seat) bool {
+func (k *Keeper) unbalanced(voters []quorum.VoterEntry) bool {
 	known := k.locations(k.cfg.Peers())
 	for _, locationOf := range []func(Peer) string{zoneOf, regionOf} {
 		limit, count := known.maxVotersPer(locationOf, len(voters)), map[string]int{}
@@ -220,16 +220,16 @@
 // nodes of the regions and zones with the fewest voters, in a zone those with most capacity. Then
 // it keeps silent previous voters: they may return, and a smaller table tolerates fewer failures.
 // No zone or region gets a majority if there are enough nodes elsewhere.
-func (k *Keeper) selectVoters(before *quorum.Table, alive []Peer) []quorum.Seat {
+func (k *Keeper) selectVoters(before *quorum.Table, alive []Peer) []quorum.VoterEntry {
 	wanted := voterCountFor(len(k.cfg.Peers()) + 1)
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	c := newSelection(k.locations(alive), wanted)
-	var silent []quorum.Seat
+	var silent []quorum.VoterEntry
 	if before != nil {
-		for _, entry := range before.Seats {
+		for _, entry := range before.Entries {
 			if _, isAlive := c.available[entry.Name]; !isAlive {
-				silent = append(silent, quorum.Seat{Name: entry.Name, Address: entry.Address})
+				silent = append(silent, quorum.VoterEntry{Name: entry.Name, Address: entry.Address})
 			} else if c.fits(entry.Name) {
 				c.choose(entry.Name)
 			}
@@ -238,9 +238,9 @@
 	for len(c.chosen) < wanted && len(c.available) > 0 {
 		c.choose(c.next())
 	}
-	var voters []quorum.Seat
+	var voters []quorum.VoterEntry
 	for _, peer := range c.chosen {
-		voters = append(voters, quorum.Seat{Name: peer.Name, Address: peer.Address, Life: k.incarnationOf(peer.Name)})
+		voters = append(voters, quorum.VoterEntry{Name: peer.Name, Address: peer.Address, Incarnation: k.incarnationOf(peer.Name)})
 	}
 	for _, entry := range silent {
 		if len(voters) < wanted {
@@ -253,7 +253,7 @@
 // incarnationOf returns the incarnation of a node that is alive. k.mu must be held.
 func (k *Keeper) incarnationOf(name string) uint64 {
 	if name == k.cfg.Name {
-		return k.cfg.Life
+		return k.cfg.Incarnation
 	}
 	return k.incarnations[name].number
 }
--- a/internal/proxy/tenure/voters_test.go
+++ b/internal/proxy/tenure/voters_test.go
@@ -22,7 +22,7 @@
 // votersByRegion counts a table's voters by region.
 func votersByRegion(table *quorum.Table) map[string]int {
 	count := map[string]int{}
-	for _, entry := range table.Seats {
+	for _, entry := range table.Entries {
 		_, region := threeRegions(entry.Name)
 		count[region]++
 	}
@@ -45,7 +45,7 @@
 		time.Sleep(3 * time.Second)
 		table := n.keepers["k0"].table()
 		must.NotNil(t, table)
-		must.Len(t, quorum.MaxVoters, table.Seats)
+		must.Len(t, quorum.MaxVoters, table.Entries)
 		for region, voters := range votersByRegion(table) {
 			must.Less(t, table.Majority(), voters, must.Sprint(region))
 		}
@@ -63,7 +63,7 @@
 			n.start(fmt.Sprintf("k%d", i))
 		}
 		time.Sleep(6 * time.Second)
-		must.Len(t, quorum.MaxVoters, n.keepers["k0"].table().Seats)
+		must.Len(t, quorum.MaxVoters, n.keepers["k0"].table().Entries)
 		openTenure(t, n.keepers["k0"], n.keepers["k0"].table().LeastBallot()+1, "a")
 		for i := range 30 {
 			if i%3 != 0 {
@@ -72,14 +72,14 @@
 		}
 		time.Sleep(2*growInterval + changeTimeout)
 		table := n.keepers["k0"].table()
-		must.Len(t, quorum.MaxVoters, table.Seats)
+		must.Len(t, quorum.MaxVoters, table.Entries)
 		for region, voters := range votersByRegion(table) {
 			must.Less(t, table.Majority(), voters, must.Sprint(region))
 		}
 		must.True(t, n.keepers["k1"].View("s").Covers(time.Now()))
 		// The table doesn't change again.
 		time.Sleep(3 * growInterval)
-		must.Eq(t, table.Era, n.keepers["k0"].table().Era)
+		must.Eq(t, table.Generation, n.keepers["k0"].table().Generation)
 		n.stop()
 	})
 }
@@ -90,14 +90,14 @@
 	bubbletest.Test(t, func(t *testing.T) {
 		n := newNetwork(8)
 		time.Sleep(6 * time.Second)
-		n.kill(n.keepers["k0"].table().Seats[0].Name)
+		n.kill(n.keepers["k0"].table().Entries[0].Name)
 		time.Sleep(silenceTimeout + changeTimeout)
 		// The maintainer has written the table and so knows its revision.
-		maintainer := n.keepers[n.anyKeeper().table().Seats[0].Name]
+		maintainer := n.keepers[n.anyKeeper().table().Entries[0].Name]
 		table := maintainer.table()
 		openTenure(t, maintainer, table.LeastBallot()+1, "a")
 		n.store.SetDown(true)
-		n.kill(table.Seats[4].Name)
+		n.kill(table.Entries[4].Name)
 		for range 100 {
 			time.Sleep(100 * time.Millisecond)
 			for name, k := range n.keepers {
@@ -107,7 +107,7 @@
 		n.store.SetDown(false)
 		time.Sleep(changeTimeout)
 		for name, k := range n.keepers {
-			must.Eq(t, table.Era+1, k.table().Era, must.Sprint(name))
+			must.Eq(t, table.Generation+1, k.table().Generation, must.Sprint(name))
 			must.True(t, k.View("s").Covers(time.Now()), must.Sprint(name))
 		}
 		n.stop()
@@ -132,7 +132,7 @@
 		before := &quorum.Table{}
 		for i := range rapid.IntRange(0, 5).Draw(t, "before") {
 			if i < len(peers) {
-				before.Seats = append(before.Seats, quorum.Seat{Name: peers[i].Name})
+				before.Entries = append(before.Entries, quorum.VoterEntry{Name: peers[i].Name})
 			}
 		}
 		voters := k.selectVoters(before, peers[:len(peers)-1])
--- a/internal/proxy/trace_test.go
+++ b/internal/proxy/trace_test.go
@@ -44,7 +44,7 @@
 		defer r.mutex.Unlock()
 		content := &bytes.Buffer{}
 		writer := trace.NewFailoverWriter(content,
-			trace.FailoverSettings{Node: node, Life: incarnation, Rank: rank, Agreed: r.agreed})
+			trace.FailoverSettings{Node: node, Incarnation: incarnation, RankDelay: rank, UsesTenures: r.agreed})
 		r.content[fmt.Sprintf("%s-%s-%s", service, node, incarnation)] = content
 		r.writers = append(r.writers, writer)
 		return &lockedTrace{recorder: r, writer: writer}
--- a/internal/proxy/transaction.go
+++ b/internal/proxy/transaction.go
@@ -90,12 +90,12 @@
 		}
 		arrived := time.Now()
 		begin := batch.Last()
-		if r.service.JudgeBegin(target, begin) {
-			if !r.service.Confirmed(r.tenure, arrived, r.deadline) {
+		if r.service.CheckBegin(target, begin) {
+			if !r.service.Confirm(r.tenure, arrived, r.deadline) {
 				lease.RollBack()
 				continue
 			}
-			r.service.Proved(target, batch.SentAt, begin)
+			r.service.RecordProof(target, batch.SentAt, begin)
 			t.server, t.lease, t.onPrimary, t.tenure = target, lease, true, r.tenure
 			return Reply{}, true
 		}
@@ -115,7 +115,7 @@
 			break
 		}
 		operations := append(lease.Adapt(r.session.values, nil),
-			upstream.Operation{Kind: upstream.BeginReadOnly, Floor: minimum.Position})
+			upstream.Operation{Kind: upstream.BeginReadOnly, MinimumPosition: minimum.Position})
 		batch := lease.Run(operations, r.readDeadline(target))
 		if batch.Err != nil {
 			lease.Discard()
@@ -124,7 +124,7 @@
 		}
 		begin := batch.Last()
 		if begin.Outcome == upstream.Succeeded {
-			target.Stats.CaughtUp(time.Now(), minimum.Since)
+			target.Stats.RecordCaughtUp(time.Now(), minimum.Since)
 			t.server, t.lease = target, lease
 			return Reply{}, true
 		}
@@ -174,7 +174,7 @@
 		case result.Outcome == upstream.Succeeded:
 			t.wrote = t.wrote || r.statement.Writes
 			if t.onPrimary && r.service.Covered(t.tenure, time.Now()) {
-				r.service.Proved(t.server, batch.SentAt, result)
+				r.service.RecordProof(t.server, batch.SentAt, result)
 			}
 			return r.answer(result)
 		case result.Outcome == upstream.Busy && result.State == upstream.InTransaction,
@@ -186,7 +186,7 @@
 				zap.String("server", t.server.ID), zap.Stringer("outcome", result.Outcome),
 				zap.Uint8("state", uint8(result.State)))
 			if result.Outcome == upstream.NotPrimary {
-				r.service.Deny(t.server.ID, time.Now())
+				r.service.RecordDenial(t.server.ID, time.Now())
 			}
 			return t.failNotRun(r)
 		default:
@@ -281,7 +281,7 @@
 		}
 		result := batch.Last()
 		if result.Outcome == upstream.Succeeded {
-			if t.wrote && !r.service.Confirmed(t.tenure, arrived, r.deadline) {
+			if t.wrote && !r.service.Confirm(t.tenure, arrived, r.deadline) {
 				t.lease.Settle(result)
 				t.lease = nil
 				return r.session.fail(failure.New(failure.OutcomeUnknown, ""))
--- a/internal/proxy/unfenced_test.go
+++ b/internal/proxy/unfenced_test.go
@@ -70,18 +70,18 @@
 func unreachablePrimary(f *simulatedFleet) {
 	primary := f.group.Primary()
 	primary.SetReachable(false)
-	primary.SetSevered(true)
+	primary.SetSendBlocked(true)
 	time.Sleep(4 * time.Second)
 	primary.SetReachable(true)
 	time.Sleep(2 * time.Second)
-	primary.SetSevered(false)
+	primary.SetSendBlocked(false)
 }
 
 // partlyCutPrimary cuts the primary off from its replicas and from all nodes but two.
 func partlyCutPrimary(f *simulatedFleet) {
 	primary := f.group.Primary()
 	set := func(on bool) {
-		primary.SetSevered(on)
+		primary.SetSendBlocked(on)
 		for i := 2; i < len(f.listeners); i++ {
 			f.setCut(i, primary.ID(), on)
 		}
@@ -95,10 +95,10 @@
 
 // lateOrders makes the platform execute promotions seconds after their calls were abandoned.
 func lateOrders(f *simulatedFleet) {
-	f.promoter.SetLate(2 * time.Second)
+	f.promoter.SetOrderDelay(2 * time.Second)
 	f.group.Primary().Crash()
 	time.Sleep(2500 * time.Millisecond)
-	f.promoter.SetLate(0)
+	f.promoter.SetOrderDelay(0)
 	time.Sleep(4 * time.Second)
 	f.group.Primary().Crash()
 }
--- a/internal/proxy/upstream/lag.go
+++ b/internal/proxy/upstream/lag.go
@@ -51,17 +51,17 @@
 	return max(0, time.Duration(float64(left)/t.applyRate)-now.Sub(t.at)), true
 }
 
-// FoundBehind records a measured lag behind the primary.
-func (s *Stats) FoundBehind(now time.Time, lag time.Duration) {
+// RecordLag records a measured lag behind the primary.
+func (s *Stats) RecordLag(now time.Time, lag time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.trend.record(now, lag)
 	s.lag, s.lagAt = lag, now
 }
 
-// CatchesUp returns the time until the server is expected to have a position that the primary has
+// TimeToReach returns the time until the server is expected to have a position that the primary has
 // had since a time. It returns false if that is unknown.
-func (s *Stats) CatchesUp(minimum position.Position, since, now time.Time) (time.Duration, bool) {
+func (s *Stats) TimeToReach(minimum position.Position, since, now time.Time) (time.Duration, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.applied.Covers(minimum) {
--- a/internal/proxy/upstream/lag_test.go
+++ b/internal/proxy/upstream/lag_test.go
@@ -35,11 +35,11 @@
 	s, now := NewStats(), start
 	for range 5 {
 		now = now.Add(gap)
-		s.FoundBehind(now, now.Sub(appliedAt(now)))
+		s.RecordLag(now, now.Sub(appliedAt(now)))
 	}
 	minimum := position.Position{Term: 1, Offset: 9}
 	since := appliedAt(now).Add(time.Duration(wantedMS) * time.Millisecond)
-	after, ok := s.CatchesUp(minimum, since, now)
+	after, ok := s.TimeToReach(minimum, since, now)
 	// The calculated rate is inexact, so near the minimum either result is correct.
 	if math.Abs(rate-minApplyRate) >= 0.001 {
 		must.Eq(t, rate >= minApplyRate, ok)
@@ -47,7 +47,7 @@
 	if ok {
 		must.Between(t, -time.Millisecond-after/10, since.Sub(appliedAt(now.Add(after))), time.Millisecond+after/10)
 	}
-	_, ok = s.CatchesUp(minimum, since, now.Add(lagValidity))
+	_, ok = s.TimeToReach(minimum, since, now.Add(lagValidity))
 	must.False(t, ok)
 }
 
@@ -57,14 +57,14 @@
 	s := NewStats()
 	now := time.Now()
 	minimum := position.Position{Term: 1, Offset: 9}
-	s.FoundBehind(now, 3*time.Second)
+	s.RecordLag(now, 3*time.Second)
 	must.Eq(t, 3*time.Second, s.Lag(now))
 	must.False(t, s.Covers(minimum, now.Add(-2*time.Second), now))
 	must.Less(t, time.Second, s.Lag(now.Add(time.Second)))
-	s.CaughtUp(now, now.Add(-200*time.Millisecond))
+	s.RecordCaughtUp(now, now.Add(-200*time.Millisecond))
 	must.LessEq(t, 200*time.Millisecond, s.Lag(now))
 	s.RecordPosition(minimum)
-	after, ok := s.CatchesUp(minimum, now, now)
+	after, ok := s.TimeToReach(minimum, now, now)
 	must.True(t, ok)
 	must.Zero(t, after)
 }
--- a/internal/proxy/upstream/pool.go
+++ b/internal/proxy/upstream/pool.go
@@ -350,10 +350,10 @@
 	return p.idleCounts[principal] > 0
 }
 
-// Renew abandons all connections because the network path to the server has changed. Idle
+// Reset abandons all connections because the network path to the server has changed. Idle
 // connections are closed at once, others when they are returned. None of them counts towards the
 // limit.
-func (p *Pool) Renew() {
+func (p *Pool) Reset() {
 	p.mutex.Lock()
 	p.generation++
 	idle := p.idle
--- a/internal/proxy/upstream/pool_test.go
+++ b/internal/proxy/upstream/pool_test.go
@@ -184,7 +184,7 @@
 		must.NoError(t, err)
 		second, err := pool.Get(Own, time.Now().Add(time.Second))
 		must.NoError(t, err)
-		pool.Renew()
+		pool.Reset()
 		third, err := pool.Get(Own, time.Now().Add(100*time.Millisecond))
 		must.NoError(t, err)
 		first.Return()
--- a/internal/proxy/upstream/stats.go
+++ b/internal/proxy/upstream/stats.go
@@ -87,8 +87,8 @@
 	s.lastIndirectAnswer.Store(int64(now.Sub(s.epoch)))
 }
 
-// SinceSign returns the time since the server's last answer, direct or through another node.
-func (s *Stats) SinceSign(now time.Time) time.Duration {
+// SinceAnyAnswer returns the time since the server's last answer, direct or through another node.
+func (s *Stats) SinceAnyAnswer(now time.Time) time.Duration {
 	return now.Sub(s.epoch.Add(time.Duration(max(s.lastAnswer.Load(), s.lastIndirectAnswer.Load()))))
 }
 
@@ -112,9 +112,9 @@
 	return s.failures, s.failedAt
 }
 
-// Forgive resets the failures and the unanswered requests, because the network path to the server
+// ResetFailures resets the failures and the unanswered requests, because the network path to the server
 // has changed.
-func (s *Stats) Forgive() {
+func (s *Stats) ResetFailures() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.failures = 0
@@ -135,8 +135,8 @@
 	return now.Before(s.avoidUntil) || s.failures > 0 && now.Sub(s.failedAt) < failureAvoidTime
 }
 
-// Busied records that the server rejected work because it had no free slot.
-func (s *Stats) Busied(until time.Time) {
+// RecordBusy records that the server rejected work because it had no free slot.
+func (s *Stats) RecordBusy(until time.Time) {
 	s.mutex.Lock()
 	s.busyUntil = until
 	s.mutex.Unlock()
@@ -191,8 +191,8 @@
 	return time.Duration(s.latencyEstimate(now) * float64(time.Second))
 }
 
-// Way returns the lowest latency seen, which is close to the round-trip time; 0 if it is unknown.
-func (s *Stats) Way() time.Duration {
+// RTT returns the lowest latency seen, which is close to the round-trip time; 0 if it is unknown.
+func (s *Stats) RTT() time.Duration {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return time.Duration(s.minLatency * float64(time.Second))
@@ -235,9 +235,9 @@
 	return s.applied
 }
 
-// Lagged records that the server, at position at, lacked a position that the primary had since a
+// RecordBehind records that the server, at position at, lacked a position that the primary had since a
 // time.
-func (s *Stats) Lagged(now, since time.Time, at position.Position) {
+func (s *Stats) RecordBehind(now, since time.Time, at position.Position) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.lag = max(s.lagEstimate(now), now.Sub(since)*5/4)
@@ -246,8 +246,8 @@
 	s.applied = at
 }
 
-// CaughtUp records that the server had a position that the primary had since a time.
-func (s *Stats) CaughtUp(now, since time.Time) {
+// RecordCaughtUp records that the server had a position that the primary had since a time.
+func (s *Stats) RecordCaughtUp(now, since time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.lag = min(s.lagEstimate(now), now.Sub(since))
--- a/internal/proxy/upstream/upstream.go
+++ b/internal/proxy/upstream/upstream.go
@@ -50,9 +50,9 @@
 	Kind OperationKind
 	// RequestID is the caller's request ID, for RunStatement and Commit.
 	RequestID string
-	// Floor is the minimum position. If it is not zero, the server rejects a read or BeginReadOnly
+	// MinimumPosition is the minimum position. If it is not zero, the server rejects a read or BeginReadOnly
 	// unless its log has reached the position.
-	Floor position.Position
+	MinimumPosition position.Position
 	// Statement is what RunStatement runs.
 	Statement *command.Statement
 	// Text is the caller's original text, for Commit.
--- a/internal/proxy/write.go
+++ b/internal/proxy/write.go
@@ -40,10 +40,10 @@
 		lease.Settle(result)
 		if !result.Outcome.NotRun() {
 			if result.Outcome == upstream.Succeeded {
-				if !r.service.Confirmed(r.tenure, arrived, r.deadline) {
+				if !r.service.Confirm(r.tenure, arrived, r.deadline) {
 					return r.session.fail(failure.New(failure.OutcomeUnknown, ""))
 				}
-				r.service.Proved(target, batch.SentAt, result)
+				r.service.RecordProof(target, batch.SentAt, result)
 				r.session.lastCommit = freshness.OwnCommit{At: time.Now(), Position: result.Position}
 			}
 			return r.answer(result)
@@ -63,10 +63,10 @@
 	now := time.Now()
 	switch result.Outcome {
 	case upstream.Busy:
-		target.Stats.Busied(now.Add(busyAvoidance))
+		target.Stats.RecordBusy(now.Add(busyAvoidance))
 		r.pause(backends.BusyPause)
 	case upstream.NotPrimary:
-		if r.service.Deny(target.ID, now) {
+		if r.service.RecordDenial(target.ID, now) {
 			r.log().Write(eventlog.PrimaryDenied, zap.String("service", r.service.Name),
 				zap.String("server", target.ID), zap.String("request", r.statement.RequestID))
 		}
