--- a/internal/proxy/network/ask.go
+++ b/internal/proxy/network/ask.go
@@ -54,7 +54,8 @@
 	return answers
 }
 
-// RequestDemotion asks another node to demote a primary. It returns nil if the server was not demoted.
+// RequestDemotion asks another node to demote a primary. It returns nil if the server was not
+// demoted.
 func (n *Network) RequestDemotion(ctx context.Context, member *Member, server string) *upstream.Status {
 	answer := n.askMember(ctx, member, relay.Request{Server: server, StepDown: true})
 	if answer == nil || !answer.Reached {
--- a/internal/proxy/network/listings.go
+++ b/internal/proxy/network/listings.go
@@ -159,7 +159,7 @@
 	return objects, true, err
 }
 
-// fleetSize returns the number of nodes in the fleet as far as known.
+// fleetSize returns the number of nodes in the fleet, as far as this node knows it.
 func (n *Network) fleetSize() int {
 	n.received.mu.Lock()
 	defer n.received.mu.Unlock()
@@ -208,7 +208,7 @@
 	return &readerSet{others: readers, isReader: isReader}
 }
 
-// awaitReadersLookup waits, up to wait, for the store's list of readers.
+// awaitReadersLookup waits for the store's list of readers, at most for wait.
 func (n *Network) awaitReadersLookup(wait time.Duration) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
--- a/internal/proxy/network/network.go
+++ b/internal/proxy/network/network.go
@@ -2,7 +2,7 @@
 // other nodes. In a large fleet a few nodes of each zone, the readers, watch the store and the
 // other nodes ask them. While the store is unavailable, nodes exchange what they know.
 //
-// The rest of the node is reached through the interface Duties.
+// The rest of the node is reached through the interface Delegate.
 package network
 
 import (
@@ -25,8 +25,9 @@
 type Delegate interface {
 	// MembersChanged is called when the list of members has changed.
 	MembersChanged()
-	// AssignQuotaShare assigns the node its share of the quotas, once. The parameter listed says whether
-	// the node was among the members before it started. It reports whether the node has a share.
+	// AssignQuotaShare assigns the node its share of the quotas, once. The parameter listed says
+	// whether the node was among the members before it started. The result reports whether the
+	// node has a share.
 	AssignQuotaShare(listed bool, now time.Time) bool
 	// LoadLeases loads, at the start, the leases that an earlier incarnation of the node holds.
 	LoadLeases(ctx context.Context)
--- a/internal/proxy/network/newer_configuration.go
+++ b/internal/proxy/network/newer_configuration.go
@@ -31,8 +31,8 @@
 	running chan struct{}
 }
 
-// FetchNewerConfiguration searches other nodes for a newer configuration and waits until it is in force here. It
-// does nothing if this node's configuration is recent.
+// FetchNewerConfiguration asks other nodes for a newer configuration and waits until it is in force
+// here. It does nothing if this node's configuration is recent.
 func (n *Network) FetchNewerConfiguration(now time.Time) {
 	if n.caches[n.options.Kinds.Configuration].Age() < maxRecentAge || n.ports.Peers == nil {
 		return
--- a/internal/proxy/network/reachability.go
+++ b/internal/proxy/network/reachability.go
@@ -102,9 +102,10 @@
 	n.silentMembers.record(address, err != nil)
 }
 
-// EvaluateDegraded decides whether this node considers itself degraded, and whether that has changed.
-func (n *Network) EvaluateDegraded(now time.Time, signs ServerAnswers) (degraded, changed bool) {
-	degraded, changed, probe := n.reachability.evaluate(now, n.KnownMemberCount(), signs)
+// EvaluateDegraded decides whether this node considers itself degraded, and whether that has
+// changed.
+func (n *Network) EvaluateDegraded(now time.Time, servers ServerAnswers) (degraded, changed bool) {
+	degraded, changed, probe := n.reachability.evaluate(now, n.KnownMemberCount(), servers)
 	if probe {
 		go n.probeStore()
 	}
--- a/internal/proxy/network/reachability_test.go
+++ b/internal/proxy/network/reachability_test.go
@@ -48,7 +48,7 @@
 			must.Eq(t, c.probe, probe)
 		})
 	}
-	for name, sign := range map[string]func(r *reachability) ServerAnswers{
+	for name, answer := range map[string]func(r *reachability) ServerAnswers{
 		"node":   func(r *reachability) ServerAnswers { r.recordPeer("x", true, at(3*time.Second)); return silent },
 		"store":  func(r *reachability) ServerAnswers { r.recordStore(true, at(3*time.Second)); return silent },
 		"server": func(*reachability) ServerAnswers { return ServerAnswers{Overdue: 1, LastAnswer: at(3 * time.Second)} },
@@ -62,7 +62,7 @@
 			degraded, changed, _ := r.evaluate(at(2500*time.Millisecond), degradedPeers, silent)
 			must.True(t, degraded)
 			must.False(t, changed)
-			degraded, changed, _ = r.evaluate(at(4*time.Second), degradedPeers, sign(r))
+			degraded, changed, _ = r.evaluate(at(4*time.Second), degradedPeers, answer(r))
 			must.False(t, degraded)
 			must.True(t, changed)
 		})
--- a/internal/proxy/network/reader_set_test.go
+++ b/internal/proxy/network/reader_set_test.go
@@ -58,26 +58,26 @@
 // TestReadersPreferFastLinks guards against readers on slow links in a zone with enough fast ones.
 func TestReadersPreferFastLinks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		nodes, good := rapid.IntRange(1, 60).Draw(t, "nodes"), rapid.IntRange(0, 5).Draw(t, "good")
+		nodes, fast := rapid.IntRange(1, 60).Draw(t, "nodes"), rapid.IntRange(0, 5).Draw(t, "good")
 		count := rapid.IntRange(1, 2).Draw(t, "readers")
 		zone := make([]Member, nodes)
 		for i := range zone {
 			zone[i] = Member{Name: fmt.Sprintf("n%d", i), Capacity: Capacity{LinkMbps: 20}}
-			if i < good {
+			if i < fast {
 				zone[i].Capacity.LinkMbps = 1000
 			}
 		}
 		chosen := rankReaders(zone, count)
 		must.Len(t, min(count, nodes), chosen)
-		strong := 0
+		fastChosen := 0
 		for _, name := range chosen {
 			var number int
 			_, err := fmt.Sscanf(name, "n%d", &number)
 			must.NoError(t, err)
-			if number < good {
-				strong++
+			if number < fast {
+				fastChosen++
 			}
 		}
-		must.Eq(t, min(good, count, nodes), strong)
+		must.Eq(t, min(fast, count, nodes), fastChosen)
 	})
 }
--- a/internal/proxy/network/readers.go
+++ b/internal/proxy/network/readers.go
@@ -120,15 +120,15 @@
 	for i := range nodes {
 		best = max(best, nodes[i].Capacity.LinkMbps)
 	}
-	var good, rest []placement.Candidate
+	var fast, rest []placement.Candidate
 	for i := range nodes {
 		if nodes[i].Capacity.LinkMbps >= best/2 {
-			good = append(good, placement.Candidate{ID: nodes[i].Name})
+			fast = append(fast, placement.Candidate{ID: nodes[i].Name})
 			continue
 		}
 		rest = append(rest, placement.Candidate{ID: nodes[i].Name})
 	}
-	ranked := placement.Rank("store readers", "", good, count)
+	ranked := placement.Rank("store readers", "", fast, count)
 	return append(ranked, placement.Rank("store readers", "", rest, count-len(ranked))...)
 }
 
--- a/internal/proxy/network/restore.go
+++ b/internal/proxy/network/restore.go
@@ -20,7 +20,7 @@
 	n.restoredAt.Store(int64(max(1, time.Since(n.Started))))
 	n.Log.Write(eventlog.StoreRestored, zap.Uint64("era", newEra), zap.Uint64("before", previousEra))
 	time.AfterFunc(rand.N(restoreCheckSpread), n.restoreOwnEntry)
-	time.AfterFunc(n.options.DrainBound, n.confirmDirectory)
+	time.AfterFunc(n.options.DrainBound, n.reinstateServers)
 	n.delegate.StoreRestored()
 }
 
@@ -38,9 +38,9 @@
 	}
 }
 
-// confirmDirectory accepts the listed servers that were gone before the store was restored. Those
-// that are not alive have been removed again by now.
-func (n *Network) confirmDirectory() {
+// reinstateServers reinstates the listed servers that were gone before the store was restored.
+// Entries of servers that are not alive have been removed again by now.
+func (n *Network) reinstateServers() {
 	objects, _, err := n.caches[n.options.Kinds.Servers].List()
 	if err != nil {
 		return
@@ -48,8 +48,9 @@
 	n.Catalog.ReinstateServers((&directorySink{n}).decodeAll(objects), time.Now())
 }
 
-// isOlderConfiguration reports whether a listed configuration is older than the known one. Within a
-// process, and for nodes that ask it, versions never decrease.
+// isOlderConfiguration reports whether a listed configuration is older than the known one, or
+// unreadable. It ensures that the versions that this process applies and sends to other nodes never
+// decrease.
 func (n *Network) isOlderConfiguration(known, listed []byte) bool {
 	current, err := n.ports.Decoder.Configuration(known)
 	if err != nil {
--- a/internal/proxy/network/sources.go
+++ b/internal/proxy/network/sources.go
@@ -30,24 +30,24 @@
 )
 
 // List implements objectstore.Source.
-func (o *peerSource) List(ctx context.Context, kind string) ([]objectstore.Object, era.Revision, error) {
-	return o.ask(ctx, relay.Request{Kind: kind})
+func (s *peerSource) List(ctx context.Context, kind string) ([]objectstore.Object, era.Revision, error) {
+	return s.ask(ctx, relay.Request{Kind: kind})
 }
 
 // Watch implements objectstore.Source.
-func (o *peerSource) Watch(ctx context.Context, kind string, after era.Revision, wait time.Duration) ([]objectstore.Object, era.Revision, error) {
-	return o.ask(ctx, relay.Request{Kind: kind, Changes: true, After: after, Wait: wait})
+func (s *peerSource) Watch(ctx context.Context, kind string, after era.Revision, wait time.Duration) ([]objectstore.Object, era.Revision, error) {
+	return s.ask(ctx, relay.Request{Kind: kind, Changes: true, After: after, Wait: wait})
 }
 
 // ask first asks several nodes for their revisions and then requests the objects from the most
 // current one, since an answer may be a complete listing.
-func (o *peerSource) ask(ctx context.Context, request relay.Request) ([]objectstore.Object, era.Revision, error) {
-	o.node.AwaitMembers(time.Now().Add(MemberAnswerTimeout))
-	best, found := o.newest(ctx, request.Kind)
+func (s *peerSource) ask(ctx context.Context, request relay.Request) ([]objectstore.Object, era.Revision, error) {
+	s.node.AwaitMembers(time.Now().Add(MemberAnswerTimeout))
+	best, found := s.newest(ctx, request.Kind)
 	if !found || (request.Changes && best.Revision <= request.After) {
 		return nil, 0, &objectstore.Error{Outcome: objectstore.NotDone, Detail: "no other node has a newer revision"}
 	}
-	answer, err := o.node.askObjects(ctx, best.From, request, MemberAnswerTimeout)
+	answer, err := s.node.askObjects(ctx, best.From, request, MemberAnswerTimeout)
 	if err != nil {
 		return nil, 0, &objectstore.Error{Outcome: objectstore.NotDone, Detail: err.Error()}
 	}
@@ -70,11 +70,11 @@
 
 // newest returns the answer of the node with the highest revision of a kind, and of the nearest
 // among equals.
-func (o *peerSource) newest(ctx context.Context, kind string) (MemberAnswer, bool) {
+func (s *peerSource) newest(ctx context.Context, kind string) (MemberAnswer, bool) {
 	limited, cancel := context.WithTimeout(ctx, MemberAnswerTimeout)
 	defer cancel()
-	sources := o.node.sources()
-	answers := o.node.collectAnswers(limited, sources, relay.Request{Kind: kind, RevisionOnly: true}, answerGrace)
+	sources := s.node.sources()
+	answers := s.node.collectAnswers(limited, sources, relay.Request{Kind: kind, RevisionOnly: true}, answerGrace)
 	var best MemberAnswer
 	found := false
 	for _, source := range sources {
--- a/internal/proxy/network/sources_test.go
+++ b/internal/proxy/network/sources_test.go
@@ -20,9 +20,9 @@
 	Peers
 	revisions map[string]era.Revision
 
-	mutex   sync.Mutex
-	peeked  []string
-	fetched []string
+	mutex            sync.Mutex
+	revisionRequests []string
+	objectRequests   []string
 }
 
 // Ask implements Peers.
@@ -31,9 +31,9 @@
 	defer p.mutex.Unlock()
 	revision, known := p.revisions[address]
 	if request.RevisionOnly {
-		p.peeked = append(p.peeked, address)
+		p.revisionRequests = append(p.revisionRequests, address)
 	} else {
-		p.fetched = append(p.fetched, address)
+		p.objectRequests = append(p.objectRequests, address)
 	}
 	if !known {
 		return relay.Answer{}, net.ErrClosed
@@ -72,9 +72,9 @@
 		must.NoError(t, err)
 		must.Eq(t, 7, revision)
 		must.Len(t, 1, objects)
-		must.Len(t, 1, peers.fetched)
-		must.True(t, strings.HasPrefix(peers.fetched[0], "a"), must.Sprint(peers.fetched))
-		must.Len(t, nearSources+farSources, peers.peeked)
+		must.Len(t, 1, peers.objectRequests)
+		must.True(t, strings.HasPrefix(peers.objectRequests[0], "a"), must.Sprint(peers.objectRequests))
+		must.Len(t, nearSources+farSources, peers.revisionRequests)
 	}
 }
 
@@ -90,7 +90,7 @@
 		must.NoError(t, err)
 		if revision == 9 {
 			farther++
-			must.True(t, strings.HasPrefix(peers.fetched[0], "c"))
+			must.True(t, strings.HasPrefix(peers.objectRequests[0], "c"))
 		}
 	}
 	must.Positive(t, farther)
--- a/internal/proxy/network/traffic_metrics.go
+++ b/internal/proxy/network/traffic_metrics.go
@@ -105,8 +105,8 @@
 	})
 }
 
-// LogTraffic logs the bytes sent by kind and distance, those received from the store, and the
-// calls to it. Only one goroutine may call it.
+// LogTraffic logs the bytes sent by kind and distance, the bytes received from the store, and the
+// number of calls to the store. Only one goroutine may call it.
 func (n *Network) LogTraffic() {
 	var fields []zap.Field
 	n.ports.Traffic.Each(func(kind traffic.Kind, distance traffic.Distance, direction traffic.Direction, bytes uint64) {
