--- a/internal/proxy/relay/pieces.go
+++ b/internal/proxy/relay/pieces.go
@@ -14,19 +14,20 @@
 	maxRetryAfter = 500 * time.Millisecond
 )
 
-// pieceLimiter limits the pieces that are sent at a time. It gives other clients a delay that is
-// based on the average time to send a piece. It is safe for concurrent use.
+// pieceLimiter limits the number of pieces that are sent at a time. It gives rejected clients a
+// retry delay that is based on the average time to send a piece. It is safe for concurrent use.
 type pieceLimiter struct {
 	mu      *sync.Mutex
 	sending int
-	// rejected counts the clients that were rejected since a piece was last begun.
+	// rejected counts the clients that were rejected since a piece was last admitted.
 	rejected    int
 	averageTime time.Duration
 }
 
 func newPieceLimiter() pieceLimiter { return pieceLimiter{mu: &sync.Mutex{}} }
 
-// acquire begins a piece, or returns the delay after which to retry.
+// acquire admits a piece and returns the start time to measure it from, or returns the delay after
+// which to retry. The caller must call release once the piece is sent.
 func (l *pieceLimiter) acquire() (began time.Time, retryAfter time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -40,7 +41,7 @@
 	return time.Time{}, min(max(rounds*l.averageTime, minRetryAfter), maxRetryAfter)
 }
 
-// release ends a piece that took the given time to send.
+// release records that a piece was sent in the given time.
 func (l *pieceLimiter) release(took time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/proxy/relay/relay.go
+++ b/internal/proxy/relay/relay.go
@@ -3,8 +3,8 @@
 // a server.
 //
 // A connection carries one request and one answer, each a msgpack value with a length prefix.
-// Requests are rare, so connections are not reused, except those that become a tunnel to a server or
-// a link of package remote.
+// Requests are rare, so connections are not reused, except those that become a tunnel to a server
+// or a link of package remote.
 package relay
 
 import (
@@ -234,23 +234,24 @@
 type Client struct{ Accounting }
 
 // Tunnel opens a connection to a server through the node at an address.
-func (a *Client) Tunnel(ctx context.Context, address, server string) (net.Conn, error) {
-	return a.open(ctx, address, Request{Server: server, Tunnel: true})
+func (c *Client) Tunnel(ctx context.Context, address, server string) (net.Conn, error) {
+	return c.open(ctx, address, Request{Server: server, Tunnel: true})
 }
 
 // Link opens the connection of a link to the node at an address.
-func (a *Client) Link(ctx context.Context, address string) (net.Conn, error) {
-	return a.open(ctx, address, Request{Link: true})
+func (c *Client) Link(ctx context.Context, address string) (net.Conn, error) {
+	return c.open(ctx, address, Request{Link: true})
 }
 
-// open sends a request after whose answer the connection stays open.
-func (a *Client) open(ctx context.Context, address string, request Request) (net.Conn, error) {
+// open sends a request for a tunnel or a link and returns the connection, which stays open after
+// the answer.
+func (c *Client) open(ctx context.Context, address string, request Request) (net.Conn, error) {
 	connection, err := liveness.Dialer(0).DialContext(ctx, "tcp4", address)
 	if err != nil {
 		return nil, errors.Wrap(err, "reach another node; ask a different one")
 	}
-	connection = a.Meter.Count(connection)
-	a.setKind(connection, &request)
+	connection = c.Meter.Count(connection)
+	c.setKind(connection, &request)
 	if deadline, set := ctx.Deadline(); set {
 		_ = connection.SetDeadline(deadline)
 	}
@@ -270,13 +271,13 @@
 }
 
 // Ask sends a request to the node at an address and returns its answer.
-func (a *Client) Ask(ctx context.Context, address string, request Request) (Answer, error) {
+func (c *Client) Ask(ctx context.Context, address string, request Request) (Answer, error) {
 	connection, err := liveness.Dialer(dialTimeout).DialContext(ctx, "tcp4", address)
 	if err != nil {
 		return Answer{}, errors.Wrap(err, "reach another node; ask a different one")
 	}
-	connection = a.Meter.Count(connection)
-	a.setKind(connection, &request)
+	connection = c.Meter.Count(connection)
+	c.setKind(connection, &request)
 	defer func() { _ = connection.Close() }()
 	if deadline, set := ctx.Deadline(); set {
 		_ = connection.SetReadDeadline(deadline)
