--- a/internal/proxy/traffic/traffic.go
+++ b/internal/proxy/traffic/traffic.go
@@ -141,8 +141,8 @@
 	return &Conn{Conn: conn, meter: m}
 }
 
-// SetKind sets the kind of all bytes, past and future, of a connection returned by Count. It ignores
-// other connections.
+// SetKind sets the kind of all bytes, past and future, of a connection returned by Count. It
+// ignores other connections.
 func SetKind(conn net.Conn, kind Kind) {
 	c, counted := conn.(*Conn)
 	if !counted {
