--- a/internal/proxy/delta/delta_test.go
+++ b/internal/proxy/delta/delta_test.go
@@ -13,8 +13,8 @@
 	_ "dewknot/internal/base/propertytest" // fixes the seed
 )
 
-// TestPatchProducesTarget guards against a patch that, after encoding and decoding, does not produce
-// the target.
+// TestPatchProducesTarget guards against a patch that, after encoding and decoding, does not
+// produce the target.
 func TestPatchProducesTarget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.Custom(func(t *rapid.T) []byte {
