--- a/internal/proxy/objectstore/cache.go
+++ b/internal/proxy/objectstore/cache.go
@@ -108,10 +108,10 @@
 	return true
 }
 
-// carryOver merges the first listing of an era with the cached objects. Unchanged objects keep their
-// revision of the earlier era; otherwise watchers that have them already would receive the whole
-// directory again. With KeepNewest, objects missing in the listing are kept at its revision. The
-// caller must hold the mutex.
+// carryOver merges the first listing of an era with the cached objects. Unchanged objects keep
+// their revision of the earlier era; otherwise watchers that have them already would receive all
+// objects again. With KeepNewest, cached objects that the listing lacks are kept and get its
+// revision. The caller must hold the mutex.
 func (c *Cache) carryOver(listed []Object, revision era.Revision) []Object {
 	carried := c.keepNewest(listed)
 	found := make(map[string]bool, len(listed))
@@ -134,7 +134,8 @@
 }
 
 // keepNewest replaces the content of changed objects by the cached content where that is newer, and
-// omits removals of cached objects. It does so only with KeepNewest. The caller must hold the mutex.
+// omits removals of cached objects. It does so only with KeepNewest. The caller must hold the
+// mutex.
 func (c *Cache) keepNewest(changes []Object) []Object {
 	if c.isNewer == nil {
 		return slices.Clone(changes)
@@ -154,11 +155,11 @@
 }
 
 // Confirmed implements Sink.
-func (c *Cache) Confirmed(now time.Time) {
+func (c *Cache) Confirmed(began time.Time) {
 	c.mutex.Lock()
-	c.confirmedAt = now
+	c.confirmedAt = began
 	c.mutex.Unlock()
-	c.next.Confirmed(now)
+	c.next.Confirmed(began)
 }
 
 // Age returns the time since the store itself last answered this node.
--- a/internal/proxy/objectstore/era_guard.go
+++ b/internal/proxy/objectstore/era_guard.go
@@ -13,7 +13,7 @@
 
 // EraGuard wraps a store and accepts only answers of the latest known era. The store compares only
 // the numbers of revisions and reuses them in a new era, so a condition on a revision of an earlier
-// era may match another change by coincidence. Guarded is safe for concurrent use.
+// era may match another change by coincidence. EraGuard is safe for concurrent use.
 type EraGuard struct {
 	store Store
 	// onRestore is called when a later era replaces a known one.
@@ -24,8 +24,8 @@
 	latest  uint64
 }
 
-// NewEraGuard returns a guarded store. It calls onRestore, without holding a lock, when the store
-// turns out to have been restored from an older copy.
+// NewEraGuard returns an EraGuard of a store. It calls onRestore, without holding a lock, when the
+// store turns out to have been restored from an older copy.
 func NewEraGuard(store Store, onRestore func(earlier, later uint64)) *EraGuard {
 	return &EraGuard{store: store, onRestore: onRestore}
 }
@@ -37,8 +37,8 @@
 	return g.latest
 }
 
-// LearnEra records an era reported by the store or by another node. It returns false if a later era is
-// known.
+// LearnEra records an era reported by the store or by another node. It returns false if a later era
+// is known.
 func (g *EraGuard) LearnEra(newEra uint64) bool {
 	g.mu.Lock()
 	earlier, first := g.latest, !g.learned
--- a/internal/proxy/objectstore/era_guard_test.go
+++ b/internal/proxy/objectstore/era_guard_test.go
@@ -12,8 +12,8 @@
 	_ "dewknot/internal/base/propertytest" // fixes the seed
 )
 
-func revisionOf(t must.T, epoch, number uint64) era.Revision {
-	revision, err := era.New(epoch, number)
+func revisionOf(t must.T, eraNumber, number uint64) era.Revision {
+	revision, err := era.New(eraNumber, number)
 	must.NoError(t, err)
 	return revision
 }
@@ -69,7 +69,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		store := &restoringStore{number: 3, backupNumber: 3}
 		var learnedEras []uint64
-		guarded := NewEraGuard(store, func(_, later uint64) { learnedEras = append(learnedEras, later) })
+		guard := NewEraGuard(store, func(_, later uint64) { learnedEras = append(learnedEras, later) })
 		lastRevision := store.currentRevision()
 		t.Repeat(map[string]func(*rapid.T){
 			"copy": func(*rapid.T) { store.backupNumber = store.number },
@@ -77,12 +77,12 @@
 				store.era, store.number = store.era+1, store.backupNumber
 			},
 			"get": func(t *rapid.T) {
-				object, err := guarded.Get(t.Context(), "kind", "name")
+				object, err := guard.Get(t.Context(), "kind", "name")
 				must.NoError(t, err)
 				lastRevision = object.Revision
 			},
 			"replace": func(t *rapid.T) {
-				object, err := guarded.Replace(t.Context(), "kind", "name", lastRevision, nil)
+				object, err := guard.Replace(t.Context(), "kind", "name", lastRevision, nil)
 				if lastRevision.Era() != store.era {
 					must.Error(t, err)
 					return
@@ -92,12 +92,12 @@
 				}
 			},
 			"delete": func(t *rapid.T) {
-				if _, err := guarded.Delete(t.Context(), "kind", "name", lastRevision); lastRevision.Era() != store.era {
+				if _, err := guard.Delete(t.Context(), "kind", "name", lastRevision); lastRevision.Era() != store.era {
 					must.Error(t, err)
 				}
 			},
 			"watch": func(t *rapid.T) {
-				if _, _, err := guarded.Watch(t.Context(), "kind", lastRevision, 0); lastRevision.Era() != store.era {
+				if _, _, err := guard.Watch(t.Context(), "kind", lastRevision, 0); lastRevision.Era() != store.era {
 					must.Eq(t, HistoryGone, OutcomeOf(err))
 				}
 			},
@@ -105,7 +105,7 @@
 				for i := 1; i < len(learnedEras); i++ {
 					must.Greater(t, learnedEras[i-1], learnedEras[i])
 				}
-				must.LessEq(t, store.era, guarded.Era())
+				must.LessEq(t, store.era, guard.Era())
 			},
 		})
 	})
@@ -113,9 +113,9 @@
 
 func TestAnswersOfEarlierErasAreRejected(t *testing.T) {
 	store := &restoringStore{number: 3}
-	guarded := NewEraGuard(store, func(_, _ uint64) {})
-	must.True(t, guarded.LearnEra(2))
-	_, err := guarded.Get(t.Context(), "kind", "name")
+	guard := NewEraGuard(store, func(_, _ uint64) {})
+	must.True(t, guard.LearnEra(2))
+	_, err := guard.Get(t.Context(), "kind", "name")
 	must.Eq(t, NotDone, OutcomeOf(err))
 	must.ErrorContains(t, err, "a later one is known")
 }
@@ -152,8 +152,8 @@
 	cache := NewCache(sink)
 	cache.KeepNewest(func(cached, listed []byte) bool { return string(cached) > string(listed) })
 	cache.Reset([]Object{{Name: "main", Revision: 7, Content: []byte("v7")}}, 7)
-	for epoch, listed := range [][]Object{{{Name: "main", Content: []byte("v5")}}, nil} {
-		revision := revisionOf(t, uint64(epoch+1), 3)
+	for index, listed := range [][]Object{{{Name: "main", Content: []byte("v5")}}, nil} {
+		revision := revisionOf(t, uint64(index+1), 3)
 		cache.Reset(listed, revision)
 		objects, _, err := cache.List()
 		must.NoError(t, err)
--- a/internal/proxy/objectstore/follow.go
+++ b/internal/proxy/objectstore/follow.go
@@ -15,9 +15,9 @@
 	Reset(objects []Object, revision era.Revision)
 	// Apply receives all changes since the last call, up to a revision.
 	Apply(events []Object, revision era.Revision)
-	// Confirmed reports that the store itself answered. The answer began at now, so all changes up
-	// to then are known.
-	Confirmed(now time.Time)
+	// Confirmed reports that the store itself answered. The answer began at the given time, so all
+	// changes up to then are known.
+	Confirmed(began time.Time)
 	// Lost is called when the store stops answering, and Regained when it answers again.
 	Lost(err error)
 	Regained()
--- a/internal/proxy/objectstore/follow_test.go
+++ b/internal/proxy/objectstore/follow_test.go
@@ -248,12 +248,12 @@
 // countingSource counts the listings requested from other nodes.
 type countingSource struct {
 	cacheSource
-	rounds atomic.Int64
+	lists atomic.Int64
 }
 
 // List implements Source.
 func (s *countingSource) List(ctx context.Context, kind string) ([]Object, era.Revision, error) {
-	s.rounds.Add(1)
+	s.lists.Add(1)
 	return s.cacheSource.List(ctx, kind)
 }
 
@@ -278,8 +278,8 @@
 		time.Sleep(10 * time.Second)
 		cancel()
 		following.Wait()
-		must.LessEq(t, int64(10), peers.rounds.Load())
-		must.GreaterEq(t, int64(7), peers.rounds.Load())
+		must.LessEq(t, int64(10), peers.lists.Load())
+		must.GreaterEq(t, int64(7), peers.lists.Load())
 	})
 }
 
--- a/internal/proxy/objectstore/objectstore.go
+++ b/internal/proxy/objectstore/objectstore.go
@@ -29,7 +29,7 @@
 // Store is a durable store of objects by kind and name. It may be restored from an older copy of
 // itself, and then begins a new era. An adapter sets the era of the store's answer in the objects
 // and revisions that it returns, and sends only the numbers of revisions. Callers use a store
-// through Guarded, which detects conditions that match a revision of another era.
+// through EraGuard, which detects conditions that match a revision of another era.
 type Store interface {
 	// List returns all objects of a kind and the revision up to which the listing is complete.
 	List(ctx context.Context, kind string) ([]Object, era.Revision, error)
--- a/internal/proxy/objectstore/patches.go
+++ b/internal/proxy/objectstore/patches.go
@@ -99,8 +99,8 @@
 	return patch, patch.Bytes() < len(target.Content)/minSavingFactor(target)
 }
 
-// minSavingFactor returns how many times smaller than the object its patch must be. It is higher for
-// large objects, which are otherwise sent compressed.
+// minSavingFactor returns how many times smaller than the object its patch must be. It is higher
+// for large objects, which are otherwise sent compressed.
 func minSavingFactor(target *Object) int {
 	if len(target.Content) < minLargeBytes {
 		return 2
@@ -120,8 +120,8 @@
 	return nil
 }
 
-// MakePatches replaces large objects by patches for a node that knows all changes up to a revision. If
-// that node has a different version, the patch fails there and it requests the complete object.
+// MakePatches replaces large objects by patches for a node that knows all changes up to a revision.
+// If that node has a different version, the patch fails there and it requests the complete object.
 func (c *Cache) MakePatches(objects []Object, after era.Revision) (full []Object, patched []PatchedObject) {
 	for i := range objects {
 		object := &objects[i]
@@ -134,8 +134,8 @@
 	return full, patched
 }
 
-// ApplyPatches applies patches to the cached versions and returns the resulting objects. It fails if a
-// cached version is not the base of its patch.
+// ApplyPatches applies patches to the cached versions and returns the resulting objects. It fails
+// if a cached version is not the base of its patch.
 func (c *Cache) ApplyPatches(patched []PatchedObject) ([]Object, error) {
 	objects := make([]Object, 0, len(patched))
 	for i := range patched {
--- a/internal/proxy/objectstore/pieces.go
+++ b/internal/proxy/objectstore/pieces.go
@@ -44,8 +44,8 @@
 	return Object{Name: l.Name, Revision: l.Revision, Content: content}, nil
 }
 
-// SplitLarge splits objects into those that are sent inline and references to those that are fetched
-// in pieces.
+// SplitLarge splits objects into those that are sent inline and references to those that are
+// fetched in pieces.
 func (c *Cache) SplitLarge(objects []Object) (inline []Object, large []LargeObject) {
 	for i := range objects {
 		object := &objects[i]
