--- a/internal/proxy/catalog/catalog.go
+++ b/internal/proxy/catalog/catalog.go
@@ -106,8 +106,8 @@
 	Role     Role
 	// Revision is the store's revision of the entry.
 	Revision era.Revision
-	// Incarnation identifies the server's incarnation: the start time of its process in milliseconds since
-	// the Unix epoch, or 0 for servers that don't report it.
+	// Incarnation is the start time of the server's process in milliseconds since the Unix epoch,
+	// or 0 for servers that don't report it. A restarted server has a higher one.
 	Incarnation int64
 	// LeavingSince is when this node learned that the server is draining or gone; zero if neither.
 	LeavingSince time.Time
@@ -218,10 +218,10 @@
 	})
 }
 
-// ReinstateServers makes servers available again that a store listed after it was restored from an
-// older copy, although they were known to be gone. It is called some time after the restore. A
-// server whose entry has stayed at the same revision is alive, since entries of dead servers have
-// been removed by then.
+// ReinstateServers makes servers available again that were known to be gone but are listed by a
+// store that was restored from an older copy. It must be called some time after the restore: a
+// server whose entry is still listed at the same revision is alive, because entries of dead servers
+// have been removed by then.
 func (c *Catalog) ReinstateServers(servers []Server, now time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/proxy/catalog/merge_test.go
+++ b/internal/proxy/catalog/merge_test.go
@@ -9,9 +9,9 @@
 	"dewknot/internal/base/era"
 )
 
-func revisionOf(t *testing.T, epoch, number uint64) era.Revision {
+func revisionOf(t *testing.T, eraNumber, number uint64) era.Revision {
 	t.Helper()
-	revision, err := era.New(epoch, number)
+	revision, err := era.New(eraNumber, number)
 	must.NoError(t, err)
 	return revision
 }
@@ -33,7 +33,7 @@
 }
 
 // TestDirectoryOfRestoredStore guards against a restored store that makes gone or draining servers
-// available, before they write an entry again or their entries are confirmed.
+// available before they write an entry again or are reinstated.
 func TestDirectoryOfRestoredStore(t *testing.T) {
 	c, now := New(time.Minute), time.Unix(1000, 0)
 	c.ReplaceDirectory([]Server{{ID: "gone", Revision: 1}, {ID: "drains", Revision: 2}, {ID: "stays", Revision: 3}, {ID: "back", Revision: 4}}, 4, now)
