--- a/internal/proxy/quota/allocator.go
+++ b/internal/proxy/quota/allocator.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// delegationDuration is how long a delegation is valid: several renewals plus lost datagrams. A
-// restarted process also waits this long before it delegates its share.
+// delegationDuration is how long a delegation is valid: several renewals plus lost datagrams. It is
+// short because a restarted process also waits this long before it delegates its share.
 const delegationDuration = 500 * time.Millisecond
 
 const (
 	// startupPeriod is how long after its start an allocator may have fewer shares than usual,
-	// because nodes that started with it do not delegate theirs yet. During this time the retry
-	// time of its grants is at most startupRetryAfter.
+	// because nodes that started with it do not delegate theirs yet. During this time RetryAfter
+	// of its grants is at most startupRetryAfter.
 	startupPeriod     = 1500 * time.Millisecond
 	startupRetryAfter = 50 * time.Millisecond
 )
--- a/internal/proxy/quota/keeper.go
+++ b/internal/proxy/quota/keeper.go
@@ -72,8 +72,8 @@
 	}
 }
 
-// waitUntilValid waits until a token is valid. If that is after the deadline, it returns the
-// token for use by others.
+// waitUntilValid waits until a token is valid. If that is after the deadline, it refunds the token
+// and returns the time after which to retry.
 func (k *Keeper) waitUntilValid(token Token, deadline time.Time) (Token, time.Duration, bool) {
 	now := time.Now()
 	if token.validFrom.After(deadline) {
@@ -86,8 +86,8 @@
 	return token, 0, true
 }
 
-// tryTake asks the machine once. For a pending verdict it returns the channel that is closed when
-// to try again.
+// tryTake asks the machine once. For a pending verdict it also returns a channel that is closed
+// when the caller should try again.
 func (k *Keeper) tryTake(key waiterKey, alreadyWaiting bool) (verdict Verdict, changed chan struct{}) {
 	k.step(func(now time.Time) {
 		verdict = k.machine.Take(now, key.tenant, key.level, alreadyWaiting)
@@ -117,7 +117,7 @@
 // Tick must be called several times per renewInterval.
 func (k *Keeper) Tick() { k.step(k.machine.Tick) }
 
-// SetFleet sets what is known of the other nodes.
+// SetFleet sets the fleet as this node knows it.
 func (k *Keeper) SetFleet(fleet Fleet) {
 	k.step(func(time.Time) { k.machine.SetFleet(fleet) })
 }
--- a/internal/proxy/quota/levels_test.go
+++ b/internal/proxy/quota/levels_test.go
@@ -26,13 +26,13 @@
 
 func drawLimit(t *rapid.T) Limit {
 	return Limit{
-		Rate: rapid.Float64Range(0, 500).Draw(t, "rate"), MaxBalance: rapid.Float64Range(0, 100).Draw(t, "stock"), TTL: time.Second,
+		Rate: rapid.Float64Range(0, 500).Draw(t, "rate"), MaxBalance: rapid.Float64Range(0, 100).Draw(t, "max balance"), TTL: time.Second,
 	}
 }
 
 func drawWant(t *rapid.T) Want {
 	return Want{
-		Tenant: "t", Need: rapid.Uint32Range(0, 60).Draw(t, "need"), Prefetch: rapid.Uint32Range(0, 20).Draw(t, "more"),
+		Tenant: "t", Need: rapid.Uint32Range(0, 60).Draw(t, "need"), Prefetch: rapid.Uint32Range(0, 20).Draw(t, "prefetch"),
 		Levels: rapid.SliceOfN(rapid.Uint32Range(0, 40), 0, 6).Draw(t, "levels"),
 	}
 }
@@ -80,7 +80,7 @@
 func TestLevelsHaveNoEffectWithoutScarcity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := Limit{
-			Rate: rapid.Float64Range(10, 500).Draw(t, "rate"), MaxBalance: rapid.Float64Range(0, 100).Draw(t, "stock"), TTL: time.Second,
+			Rate: rapid.Float64Range(10, 500).Draw(t, "rate"), MaxBalance: rapid.Float64Range(0, 100).Draw(t, "max balance"), TTL: time.Second,
 		}
 		withLevels, delegate := newTestAllocator(limit)
 		withoutLevels, delegateWithout := newTestAllocator(limit)
@@ -94,7 +94,7 @@
 				delegateWithout(now)
 			}
 			level := rapid.IntRange(0, int(urgency.Least)).Draw(t, "level")
-			want := Want{Tenant: "t", Need: need, Prefetch: rapid.Uint32Range(0, 20).Draw(t, "more")}
+			want := Want{Tenant: "t", Need: need, Prefetch: rapid.Uint32Range(0, 20).Draw(t, "prefetch")}
 			expected := withoutLevels.handleWant(now, &want)
 			want.Levels = make([]uint32, level+1)
 			want.Levels[level] = need
--- a/internal/proxy/quota/machine.go
+++ b/internal/proxy/quota/machine.go
@@ -102,8 +102,8 @@
 	return out
 }
 
-// SetFleet sets what is known of the other nodes. The node's share never grows: a process that
-// sees fewer nodes than before cannot know whether the others still use their shares.
+// SetFleet sets the fleet as this node knows it. The node's share never grows: a process that sees
+// fewer nodes than before cannot know whether the others still use their shares.
 func (m *Machine) SetFleet(fleet Fleet) {
 	m.fleet = fleet
 	m.maxNodes = max(m.maxNodes, fleet.Nodes)
--- a/internal/proxy/quota/quota.go
+++ b/internal/proxy/quota/quota.go
@@ -32,7 +32,7 @@
 	return (quota.PerSecond*b.Window.Seconds()+quota.Burst)*(1+b.Overage) + b.Slack
 }
 
-// Limit is how tokens of a tenant are issued and kept over all nodes.
+// Limit is the rate of issue, maximum balance and lifetime of a tenant's tokens over all nodes.
 type Limit struct {
 	// Rate is the number of tokens issued per second.
 	Rate float64
--- a/internal/proxy/quota/throttling.go
+++ b/internal/proxy/quota/throttling.go
@@ -13,12 +13,12 @@
 // not end and begin with each retry.
 const throttlingQuietPeriod = 2 * maxRetryAfter
 
-// minReportedRefusals is the number of refused tokens from which throttling is reported. It
-// ignores tenants below their quota whose callers briefly meet at one allocator: they get their
+// minReportedRefusals is the number of refused tokens from which throttling is reported. Fewer are
+// refused if a tenant below its quota briefly exhausts one allocator; its callers then get their
 // tokens from another one.
 const minReportedRefusals = 10
 
-// ThrottleEvent is the start or the end of an allocator's throttling of less urgent work of a tenant
+// ThrottleEvent is the start or the end of an allocator's throttling of a tenant's less urgent work
 // in favor of more urgent work.
 type ThrottleEvent struct {
 	Tenant string
@@ -35,7 +35,7 @@
 	ThrottledFor time.Duration
 }
 
-// throttling is a tenant whose less urgent work is throttled.
+// throttling is the state of a tenant whose less urgent work is throttled.
 type throttling struct {
 	level       urgency.Level
 	since, last time.Time
