--- a/internal/proxy/admission/bench_test.go
+++ b/internal/proxy/admission/bench_test.go
@@ -17,9 +17,9 @@
 	}
 }
 
-// BenchmarkOutlook computes the outlook of a gate with a long queue, which an owner does for each
+// BenchmarkForecast computes the forecast of a gate with a long queue, as an owner does for each
 // answer.
-func BenchmarkOutlook(b *testing.B) {
+func BenchmarkForecast(b *testing.B) {
 	gate := NewGate(1, 1)
 	now := time.Now()
 	gate.running = 1
--- a/internal/proxy/admission/early.go
+++ b/internal/proxy/admission/early.go
@@ -41,9 +41,9 @@
 	return k.Wait + time.Duration(k.Sent)*k.Wait/time.Duration(k.Waiting)
 }
 
-// Precheck decides about work before it is sent to an owner, which would reject it only after it has
-// waited for allowed. Statements of open transactions are always sent, and so is all work without a
-// recent report.
+// Precheck decides about work before it is sent to an owner, which would reject it only after it
+// has waited for allowed. Statements of open transactions are always sent, and so is all work
+// without a recent report.
 //
 // All nodes receive reports of a long queue at about the same time. If all of them stopped sending
 // at the same limit, the server would run idle until their reports expire. So if the expected wait
@@ -67,6 +67,6 @@
 	}
 }
 
-// WaitTooLong reports whether work that may wait for allowed would be rejected after waiting, because
-// the expected wait is longer. Such work is rejected at once.
+// WaitTooLong reports whether work that may wait for allowed would be rejected after waiting,
+// because the expected wait is longer. Such work is rejected at once.
 func WaitTooLong(wait, allowed time.Duration) bool { return wait > max(allowed, 0) }
--- a/internal/proxy/admission/gate.go
+++ b/internal/proxy/admission/gate.go
@@ -89,8 +89,8 @@
 	return &Gate{limit: float64(limit), maxLimit: float64(maxLimit)}
 }
 
-// UseConnections makes the gate admit work only when a connection is available for it, and prefer work whose
-// principal has an idle one. It must be called before the gate is used.
+// UseConnections makes the gate admit work only when a connection is available for it, and prefer
+// work whose principal has an idle one. It must be called before the gate is used.
 func (g *Gate) UseConnections(connections Connections) { g.connections = connections }
 
 // Request describes work that asks for admission.
@@ -101,8 +101,8 @@
 	Arrived  time.Time
 	// Late is set if the work's objective has passed.
 	Late bool
-	// Principal is the identity under which the work runs. Holds is set if the work already has a
-	// connection.
+	// Principal is the identity under which the work runs. HasConnection is set if the work already
+	// has a connection.
 	Principal     string
 	HasConnection bool
 }
--- a/internal/proxy/admission/throughput.go
+++ b/internal/proxy/admission/throughput.go
@@ -86,13 +86,13 @@
 func (g *Gate) Forecast(now time.Time) Forecast {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	outlook := Forecast{Running: g.running, Waiting: len(g.waiting), Limit: int(g.limit)}
+	forecast := Forecast{Running: g.running, Waiting: len(g.waiting), Limit: int(g.limit)}
 	if g.running < int(g.limit) && len(g.waiting) == 0 {
-		return outlook
+		return forecast
 	}
-	for level := range outlook.Anywhere {
-		outlook.Anywhere[level] = g.wait(&Request{Class: Anywhere, Priority: level, Arrived: now})
-		outlook.OnlyHere[level] = g.wait(&Request{Class: OnlyHere, Priority: level, Arrived: now})
+	for level := range forecast.Anywhere {
+		forecast.Anywhere[level] = g.wait(&Request{Class: Anywhere, Priority: level, Arrived: now})
+		forecast.OnlyHere[level] = g.wait(&Request{Class: OnlyHere, Priority: level, Arrived: now})
 	}
-	return outlook
+	return forecast
 }
