--- a/internal/proxy/cold/cold.go
+++ b/internal/proxy/cold/cold.go
@@ -56,8 +56,8 @@
 	return now.Before(l.until)
 }
 
-// Allow reports whether a request may be sent now, and counts it if so. New work leaves headroom for
-// work of open transactions.
+// Allow reports whether a request may be sent now, and counts it if so. New work leaves headroom
+// for work of open transactions.
 func (l *Limiter) Allow(now time.Time, bound Bound, continuation bool) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
