--- a/internal/proxy/freshness/destination.go
+++ b/internal/proxy/freshness/destination.go
@@ -17,7 +17,7 @@
 	AwaitReplica
 )
 
-// ReadOptions contains the expected waits of such a read.
+// ReadOptions contains the expected waits of a read whose minimum position no replica has yet.
 type ReadOptions struct {
 	// PrimaryWait is the expected wait at the primary. PrimaryKnown is set if anything recent is
 	// known about it.
@@ -39,23 +39,23 @@
 
 // Choose decides where the read runs. The primary's slots are for work that no other server can
 // run. So if work waits for them, a read waits for a replica that can answer it in time.
-func (p *ReadOptions) Choose() Destination {
+func (o *ReadOptions) Choose() Destination {
 	switch {
-	case !p.PrimaryKnown || p.PrimaryWait <= 0:
+	case !o.PrimaryKnown || o.PrimaryWait <= 0:
 		// The primary has a free slot, or nothing is known about it.
 		return OnPrimary
-	case !p.ReplicaKnown || p.CatchUp > p.Left/waitDivisor:
+	case !o.ReplicaKnown || o.CatchUp > o.Left/waitDivisor:
 		return OnPrimary
-	case p.PrimaryWait <= p.Allowed && p.PrimaryWait < p.CatchUp:
+	case o.PrimaryWait <= o.Allowed && o.PrimaryWait < o.CatchUp:
 		return OnPrimary
 	default:
 		return AwaitReplica
 	}
 }
 
-// FirstMissing returns the time since when the primary has had the earliest known position that a server
-// at position at lacks. The server is at least that far behind. It returns false if the server
-// lacks none.
+// FirstMissing returns the time since when the primary has had the earliest known position that a
+// server at position at lacks. The server is at least that far behind. It returns false if the
+// server lacks none.
 func (p *Proofs) FirstMissing(at position.Position) (time.Time, bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/internal/proxy/freshness/destination_test.go
+++ b/internal/proxy/freshness/destination_test.go
@@ -32,9 +32,9 @@
 	})
 }
 
-// TestLackingIsTheEarliestProof guards against a result other than the earliest proof that the
+// TestFirstMissingIsEarliestProof guards against a result other than the earliest proof that the
 // position does not cover, and against using proofs of another term.
-func TestLackingIsTheEarliestProof(t *testing.T) {
+func TestFirstMissingIsEarliestProof(t *testing.T) {
 	start := time.Unix(1_000, 0)
 	rapid.Check(t, func(t *rapid.T) {
 		proofs := &Proofs{}
--- a/internal/proxy/freshness/freshness.go
+++ b/internal/proxy/freshness/freshness.go
@@ -25,8 +25,8 @@
 	Position position.Position
 }
 
-// MinimumPosition is the minimum position that a read must see. Since is a time at which the primary's log
-// had reached it.
+// MinimumPosition is the minimum position that a read must see. Since is a time at which the
+// primary's log had reached it.
 type MinimumPosition struct {
 	Position position.Position
 	Since    time.Time
@@ -85,9 +85,9 @@
 	return p.newest, !p.newest.At.IsZero() && !p.newest.At.Before(notBefore)
 }
 
-// MinimumPosition returns the minimum position for a read that began at a time. The read may miss commits
-// acknowledged within the window before that, but not its own session's commits. It returns false
-// if no proof is recent enough; the primary must then be asked.
+// MinimumPosition returns the minimum position for a read that began at a time. The read may miss
+// commits acknowledged within the window before that, but not its own session's commits. It returns
+// false if no proof is recent enough; the primary must then be asked.
 func (p *Proofs) MinimumPosition(began time.Time, window time.Duration, own OwnCommit) (MinimumPosition, bool) {
 	proof, found := p.Oldest(began.Add(-window))
 	if !found {
