--- a/internal/proxy/routing/routing.go
+++ b/internal/proxy/routing/routing.go
@@ -14,7 +14,7 @@
 	SameZone   bool
 	SameRegion bool
 	Primary    bool
-	// Latency is the expected latency of a statement, queueing included. Way is the lowest latency
+	// Latency is the expected latency of a statement, queueing included. RTT is the lowest latency
 	// seen, which is close to the round-trip time. Both are zero if unknown.
 	Latency time.Duration
 	RTT     time.Duration
