--- a/internal/proxy/upstream/pool_test.go
+++ b/internal/proxy/upstream/pool_test.go
@@ -174,9 +174,9 @@
 	})
 }
 
-// TestRenewedPoolIgnoresOldConnections guards against counting connections over a broken path
-// towards the limit after Renew.
-func TestRenewedPoolIgnoresOldConnections(t *testing.T) {
+// TestResetPoolIgnoresOldConnections guards against counting connections over a broken path
+// towards the limit after Reset.
+func TestResetPoolIgnoresOldConnections(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		dialer := &limitedDialer{limit: 10}
 		pool := newTestPool(dialer, 2)
--- a/internal/proxy/upstream/stats.go
+++ b/internal/proxy/upstream/stats.go
@@ -112,8 +112,8 @@
 	return s.failures, s.failedAt
 }
 
-// ResetFailures resets the failures and the unanswered requests, because the network path to the server
-// has changed.
+// ResetFailures resets the failures and the unanswered requests, because the network path to the
+// server has changed.
 func (s *Stats) ResetFailures() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -135,7 +135,8 @@
 	return now.Before(s.avoidUntil) || s.failures > 0 && now.Sub(s.failedAt) < failureAvoidTime
 }
 
-// RecordBusy records that the server rejected work because it had no free slot.
+// RecordBusy records that the server rejected work because it had no free slot. It counts as
+// congested until the given time.
 func (s *Stats) RecordBusy(until time.Time) {
 	s.mutex.Lock()
 	s.busyUntil = until
@@ -235,8 +236,8 @@
 	return s.applied
 }
 
-// RecordBehind records that the server, at position at, lacked a position that the primary had since a
-// time.
+// RecordBehind records that the server, at position at, lacked a position that the primary had
+// since a time.
 func (s *Stats) RecordBehind(now, since time.Time, at position.Position) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/proxy/upstream/upstream.go
+++ b/internal/proxy/upstream/upstream.go
@@ -50,8 +50,8 @@
 	Kind OperationKind
 	// RequestID is the caller's request ID, for RunStatement and Commit.
 	RequestID string
-	// MinimumPosition is the minimum position. If it is not zero, the server rejects a read or BeginReadOnly
-	// unless its log has reached the position.
+	// MinimumPosition, if not zero, makes the server reject a read or BeginReadOnly unless its log
+	// has reached the position.
 	MinimumPosition position.Position
 	// Statement is what RunStatement runs.
 	Statement *command.Statement
