--- a/internal/proxy/run.go
+++ b/internal/proxy/run.go
@@ -123,12 +123,12 @@
 		}
 		return r.session.node.Admit(target, request, deadline)
 	}
-	if connection, queues := lease.Connection.(queuer); queues {
+	if connection, ok := lease.Connection.(ticketSetter); ok {
 		age := now.Sub(r.arrived)
 		if request.Late {
 			age -= admission.LateDelay
 		}
-		connection.Queue(remote.Ticket{
+		connection.SetTicket(remote.Ticket{
 			Class: class, Priority: request.Priority, Age: age, Wait: deadline.Sub(now),
 		})
 	}
@@ -136,9 +136,10 @@
 	return true
 }
 
-// queuer is a connection through another node, where its operations wait for a slot.
-type queuer interface {
-	Queue(ticket remote.Ticket)
+// ticketSetter is a connection through another node. The ticket determines how long its operations
+// wait for a slot there, and in which order.
+type ticketSetter interface {
+	SetTicket(ticket remote.Ticket)
 }
 
 // late reports whether the latency objective has passed.
