--- a/internal/proxy/backends/backends.go
+++ b/internal/proxy/backends/backends.go
@@ -50,9 +50,9 @@
 	// cold server may exceed its rate.
 	ColdOverage float64
 	ColdSlack   float64
-	// Agreed makes the nodes agree on tenures. It is needed if the platform does not check fencing
-	// tokens. MessageAddress is where this node receives the messages of the agreement.
-	Agreed         bool
+	// UsesTenures makes the nodes agree on tenures. It is needed if the platform does not check
+	// fencing tokens. MessageAddress is where this node receives the messages of the agreement.
+	UsesTenures    bool
 	MessageAddress string
 	Kinds          network.Kinds
 	// FirstStart is set while the whole fleet starts for the first time.
@@ -70,9 +70,9 @@
 	Messages tenure.Sender
 	// Connect opens a connection to an address, for tunnels of other nodes.
 	Connect func(ctx context.Context, address string) (net.Conn, error)
-	// Trace, if not nil, starts the trace of a service's failover machine. rank is the delay of
-	// that machine's takeovers.
-	Trace func(service string, rank time.Duration) FailoverTrace
+	// Trace, if not nil, starts the trace of a service's failover machine. rankDelay is the delay
+	// of that machine's takeovers.
+	Trace func(service string, rankDelay time.Duration) FailoverTrace
 }
 
 // Backends holds the services and their servers, the connections to them, and this node's part in
@@ -99,8 +99,8 @@
 	// refreshingLeases is set while a listing of the leases is scheduled.
 	refreshingLeases atomic.Bool
 	// CatalogLoaded is closed once the node has a configuration and a directory.
-	CatalogLoaded chan struct{}
-	informedOnce  sync.Once
+	CatalogLoaded     chan struct{}
+	catalogLoadedOnce sync.Once
 	// links lead to the nodes that own connections; Owner serves the connections of this node.
 	links *remote.Links
 	Owner *remote.Owner
--- a/internal/proxy/backends/headroom.go
+++ b/internal/proxy/backends/headroom.go
@@ -13,8 +13,8 @@
 	"dewknot/internal/proxy/urgency"
 )
 
-// ReportedLoad returns what the owner has reported about the work waiting for the server, and the report's
-// age.
+// ReportedLoad returns what the owner has reported about the work waiting for the server, and the
+// report's age.
 func (t *Server) ReportedLoad(class admission.Class, level urgency.Level, now time.Time) (admission.QueueEstimate, time.Duration) {
 	report, age, recent := t.LoadReports.Newest(now)
 	if !recent {
@@ -24,8 +24,8 @@
 	return admission.QueueEstimate{Recent: true, Wait: wait, Waiting: int(report.Waiting), Sent: int(t.Remote.Load())}, age
 }
 
-// ReportedWait returns the wait for work as reported by the server's owner; false if there is no recent
-// report.
+// ReportedWait returns the wait for work as reported by the server's owner; false if there is no
+// recent report.
 func (t *Server) ReportedWait(class admission.Class, level urgency.Level, now time.Time) (time.Duration, bool) {
 	if class == admission.Anywhere {
 		return t.LoadReports.Wait(now, level)
@@ -71,22 +71,22 @@
 	}
 }
 
-// MinReportedLag is the smallest lag that is reported of a server. Below it a replica can serve reads
-// with common staleness bounds, and the estimate is no more precise than a round trip between
+// MinReportedLag is the smallest lag that is reported of a server. Below it a replica can serve
+// reads with common staleness bounds, and the estimate is no more precise than a round trip between
 // regions.
 const MinReportedLag = 200 * time.Millisecond
 
 // Report implements remote.Server.
 func (o *ownedServer) Report() loadreport.Report {
 	now := time.Now()
-	outlook := o.Gate.Forecast(now)
+	forecast := o.Gate.Forecast(now)
 	report := loadreport.Report{
-		Sequence: o.service.backends.reportSequence.Add(1), Running: uint16(outlook.Running),
-		Waiting: uint16(outlook.Waiting), Limit: uint16(outlook.Limit),
+		Sequence: o.service.backends.reportSequence.Add(1), Running: uint16(forecast.Running),
+		Waiting: uint16(forecast.Waiting), Limit: uint16(forecast.Limit),
 	}
 	for level := range report.Waits {
-		report.Waits[level], report.WaitsOnlyHere[level] = loadreport.Milliseconds(outlook.Anywhere[level]),
-			loadreport.Milliseconds(outlook.OnlyHere[level])
+		report.Waits[level], report.WaitsOnlyHere[level] = loadreport.Milliseconds(forecast.Anywhere[level]),
+			loadreport.Milliseconds(forecast.OnlyHere[level])
 	}
 	report.Behind = loadreport.Milliseconds(o.behind(now))
 	return report
@@ -106,8 +106,8 @@
 	return 0
 }
 
-// RejectionQuietPeriod is how long after the last rejection a service counts as no longer rejecting work.
-// It is longer than rejected callers usually wait before they retry.
+// RejectionQuietPeriod is how long after the last rejection a service counts as no longer rejecting
+// work. It is longer than rejected callers usually wait before they retry.
 const RejectionQuietPeriod = 2 * time.Second
 
 // Rejections tracks whether a service rejects work for lack of headroom. It is safe for concurrent
@@ -123,28 +123,28 @@
 
 // Record records a rejection. It reports whether it is the first one, or of a more urgent level
 // than all before.
-func (t *Rejections) Record(now time.Time, level urgency.Level) bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	notable := t.since.IsZero() || level < t.mostUrgent
-	if t.since.IsZero() {
-		t.since, t.mostUrgent, t.count = now, level, 0
+func (r *Rejections) Record(now time.Time, level urgency.Level) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	notable := r.since.IsZero() || level < r.mostUrgent
+	if r.since.IsZero() {
+		r.since, r.mostUrgent, r.count = now, level, 0
 	}
-	t.last, t.mostUrgent = now, min(t.mostUrgent, level)
-	t.count++
+	r.last, r.mostUrgent = now, min(r.mostUrgent, level)
+	r.count++
 	return notable
 }
 
 // Ended reports, once, that the service no longer rejects work. It returns how many requests were
 // rejected, over which time, and their most urgent level.
-func (t *Rejections) Ended(now time.Time) (count int, lasted time.Duration, mostUrgent urgency.Level, ended bool) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.since.IsZero() || now.Sub(t.last) < RejectionQuietPeriod {
+func (r *Rejections) Ended(now time.Time) (count int, lasted time.Duration, mostUrgent urgency.Level, ended bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.since.IsZero() || now.Sub(r.last) < RejectionQuietPeriod {
 		return 0, 0, 0, false
 	}
-	count, lasted, mostUrgent = t.count, t.last.Sub(t.since), t.mostUrgent
-	t.since = time.Time{}
+	count, lasted, mostUrgent = r.count, r.last.Sub(r.since), r.mostUrgent
+	r.since = time.Time{}
 	return count, lasted, mostUrgent, true
 }
 
--- a/internal/proxy/backends/indirect_path.go
+++ b/internal/proxy/backends/indirect_path.go
@@ -34,8 +34,8 @@
 		zap.String("via", *witnessAddress))
 }
 
-// IndirectPathTo returns the address of the node through which a server is reached, and whether there is
-// one.
+// IndirectPathTo returns the address of the node through which a server is reached, and whether
+// there is one.
 func (b *Backends) IndirectPathTo(id string) (string, bool) {
 	target := b.Server(id)
 	if target == nil {
--- a/internal/proxy/backends/owners.go
+++ b/internal/proxy/backends/owners.go
@@ -51,7 +51,7 @@
 	until   time.Time
 }
 
-// Acquire returns a connection to a server for callers' work in the name of a principal. It is a
+// Acquire returns a connection to a server for the work of a principal's callers. It is a
 // connection of this node, or one of the server's owner.
 func (b *Backends) Acquire(target *Server, principal upstream.Principal, deadline time.Time) (*upstream.Lease, error) {
 	if !b.AwaitMembers(deadline) {
@@ -72,8 +72,8 @@
 		func() { target.skipOwner(address, len(owners)) }), nil
 }
 
-// PrecedingOwners returns the nodes through which this node reaches a server, best first. It returns
-// none if this node opens its own connections.
+// PrecedingOwners returns the nodes through which this node reaches a server, best first. It
+// returns none if this node opens its own connections.
 func (b *Backends) PrecedingOwners(target *Server) []string {
 	members := b.Members.Load()
 	if members == nil || b.ports.Peers == nil {
--- a/internal/proxy/backends/prewarm.go
+++ b/internal/proxy/backends/prewarm.go
@@ -6,9 +6,9 @@
 	"dewknot/internal/proxy/upstream"
 )
 
-// Prewarm opens a principal's connections to a service's servers, once, while its callers wait for the
-// first tenure. The callers will continue all at once, and opening a connection takes a slot of the
-// server.
+// Prewarm opens a principal's connections to a service's servers, once, while its callers wait for
+// the first tenure. The callers will continue all at once, and opening a connection takes a slot of
+// the server.
 func (s *Service) Prewarm(principal upstream.Principal) {
 	if s.prewarmed.Swap(true) {
 		return
--- a/internal/proxy/backends/service.go
+++ b/internal/proxy/backends/service.go
@@ -40,8 +40,8 @@
 	// them that does not reach the server.
 	owners       atomic.Pointer[ranking]
 	skippedOwner atomic.Pointer[skippedOwner]
-	// Remote counts this node's work on the server that goes through an owner. Told holds the
-	// owner's load reports.
+	// Remote counts this node's work on the server that goes through an owner. LoadReports
+	// holds the owner's load reports.
 	Remote      atomic.Int64
 	LoadReports loadreport.View
 }
@@ -86,15 +86,15 @@
 	if found, ok := b.services.Load(name); ok {
 		return found.(*Service)
 	}
-	rank := b.takeoverRank(name)
+	rankDelay := b.takeoverDelay(name)
 	created := &Service{
 		backends: b, Name: name, Leadership: leadership.NewPrimaryView(), replication: make(chan struct{}, 1),
 		machine: failover.New(failover.Config{
-			Node: b.options.Name, Incarnation: b.options.Incarnation, RankDelay: rank, UsesTenures: b.Tenures != nil,
+			Node: b.options.Name, Incarnation: b.options.Incarnation, RankDelay: rankDelay, UsesTenures: b.Tenures != nil,
 		}),
 	}
 	if b.ports.Trace != nil {
-		created.trace = b.ports.Trace(name, rank)
+		created.trace = b.ports.Trace(name, rankDelay)
 	}
 	found, _ := b.services.LoadOrStore(name, created)
 	return found.(*Service)
@@ -124,7 +124,7 @@
 	takeoverStep  = 250 * time.Millisecond
 )
 
-func (b *Backends) takeoverRank(service string) time.Duration {
+func (b *Backends) takeoverDelay(service string) time.Duration {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(b.options.Name + "/" + service))
 	return time.Duration(hash.Sum32()%takeoverSteps) * takeoverStep
@@ -136,7 +136,7 @@
 		b.setCeilings()
 	}
 	if Complete(current) && !Complete(previous) {
-		b.informedOnce.Do(func() { close(b.CatalogLoaded) })
+		b.catalogLoadedOnce.Do(func() { close(b.CatalogLoaded) })
 	}
 	for id, entry := range current.Servers {
 		if previous.Servers[id] == entry {
--- a/internal/proxy/backends/survey.go
+++ b/internal/proxy/backends/survey.go
@@ -207,8 +207,8 @@
 	return false
 }
 
-// RecordProof records an answer that only the primary gives to a request sent at sentAt. If nodes agree
-// on tenures, the caller must have confirmed the answer.
+// RecordProof records an answer that only the primary gives to a request sent at sentAt. If nodes
+// agree on tenures, the caller must have confirmed the answer.
 func (s *Service) RecordProof(target *Server, sentAt time.Time, result *upstream.Result) {
 	if !s.backends.isCurrent(target) {
 		return
--- a/internal/proxy/backends/tenures.go
+++ b/internal/proxy/backends/tenures.go
@@ -19,7 +19,7 @@
 
 // newTenures returns the node's part in the agreement; nil if the platform checks fencing tokens.
 func (b *Backends) newTenures() *tenure.Keeper {
-	if !b.options.Agreed || b.ports.Messages == nil {
+	if !b.options.UsesTenures || b.ports.Messages == nil {
 		return nil
 	}
 	return tenure.New(tenure.Config{
@@ -85,9 +85,9 @@
 	}
 }
 
-// RequestTenure returns the tenure under which a server may be asked for what only the primary may answer,
-// and whether there is one. If the platform checks fencing tokens, the answer itself is the proof
-// and the tenure is empty.
+// RequestTenure returns the tenure under which a server may be asked for what only the primary may
+// answer, and whether there is one. If the platform checks fencing tokens, the answer itself is the
+// proof and the tenure is empty.
 func (s *Service) RequestTenure(server string) (quorum.Tenure, bool) {
 	if s.backends.Tenures == nil {
 		return quorum.Tenure{}, true
@@ -137,16 +137,16 @@
 	return false
 }
 
-// LeaseAccount describes the state of this node's leases for a service; false if the platform
+// LeaseStatus describes the state of this node's leases for a service; false if the platform
 // checks fencing tokens.
-func (b *Backends) LeaseAccount(service string, now time.Time) (tenure.LeaseStatus, bool) {
+func (b *Backends) LeaseStatus(service string, now time.Time) (tenure.LeaseStatus, bool) {
 	if b.Tenures == nil {
 		return tenure.LeaseStatus{}, false
 	}
 	return b.Tenures.LeaseStatus(service, now), true
 }
 
-// Covered is like Confirmed, but never waits for the voters. It is for answers that are optional,
+// Covered is like Confirm, but never waits for the voters. It is for answers that are optional,
 // such as additional proofs.
 func (s *Service) Covered(sentUnder quorum.Tenure, arrived time.Time) bool {
 	if s.backends.Tenures == nil {
@@ -156,8 +156,8 @@
 	return view != nil && view.Tenure == sentUnder && view.Covers(arrived)
 }
 
-// RecordDenial records a server's answer that it is not the primary. It reports whether that changes what
-// this node knows.
+// RecordDenial records a server's answer that it is not the primary. It reports whether that
+// changes what this node knows.
 func (s *Service) RecordDenial(server string, now time.Time) bool {
 	if s.backends.Tenures == nil {
 		return s.Leadership.RecordDenialAndClear(server, now)
--- a/internal/proxy/backends/witnesses.go
+++ b/internal/proxy/backends/witnesses.go
@@ -65,14 +65,14 @@
 	node := s.backends
 	ctx, cancel := context.WithTimeout(context.Background(), pingTimeout+network.MemberAnswerTimeout)
 	defer cancel()
-	question := relay.Request{Server: effect.Server}
+	request := relay.Request{Server: effect.Server}
 	var holder, answers []network.MemberAnswer
 	var witnesses []network.Member
 	var requests sync.WaitGroup
-	requests.Go(func() { holder = node.AskMembers(ctx, node.membersNamed(effect.Superiors), question) })
+	requests.Go(func() { holder = node.AskMembers(ctx, node.membersNamed(effect.Superiors), request) })
 	if effect.Server != "" {
 		witnesses = node.witnesses()
-		answers = node.AskMembers(ctx, witnesses, question)
+		answers = node.AskMembers(ctx, witnesses, request)
 	}
 	requests.Wait()
 	outcome := s.countAnswers(witnesses, answers)
--- a/internal/proxy/cutoffnode_test.go
+++ b/internal/proxy/cutoffnode_test.go
@@ -37,10 +37,11 @@
 	}
 }
 
-func (f *simulatedFleet) drive(name string, seed uint64, duration time.Duration) *judge.Caller {
-	driver := f.caller(name, rand.New(rand.NewPCG(1, seed)))
-	driver.Run(time.Now().Add(duration))
-	return driver
+// runCaller runs a new caller for a duration and returns its results.
+func (f *simulatedFleet) runCaller(name string, seed uint64, duration time.Duration) *judge.Caller {
+	caller := f.caller(name, rand.New(rand.NewPCG(1, seed)))
+	caller.Run(time.Now().Add(duration))
+	return caller
 }
 
 // The nodes of a fleet of five connect to all servers directly. Those of a fleet of seven go
@@ -62,7 +63,7 @@
 			fleet.callersOnlyOn(i)
 			fleet.setPeersCut(i, true)
 			fleet.setCut(i, primary, true)
-			fleet.drive(fleet.name(i), uint64(i), 4*time.Second)
+			fleet.runCaller(fleet.name(i), uint64(i), 4*time.Second)
 			fleet.setCut(i, primary, false)
 			fleet.setPeersCut(i, false)
 			time.Sleep(time.Second)
@@ -86,27 +87,27 @@
 		fleet.callersOnlyOn(0)
 		lost := fleet.group.Primary()
 		lost.Crash()
-		fleet.drive("c", 1, 15*time.Second)
+		fleet.runCaller("c", 1, 15*time.Second)
 		must.NotEq(t, lost.ID(), fleet.group.Primary().ID())
 		must.SliceEmpty(t, fleet.check.Violations)
 		fleet.end()
 	})
 }
 
-// TestNodeThatHearsNothingSendsItsCallersAway guards against a degraded node that suspects the
+// TestDegradedNodeRejectsItsCallers guards against a degraded node that suspects the
 // primary or keeps its callers waiting. It must report that it is not ready, reject at once, and
 // serve again when its network has recovered.
-func TestNodeThatHearsNothingSendsItsCallersAway(t *testing.T) {
+func TestDegradedNodeRejectsItsCallers(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		fleet := newFleet(fleetOfFive, 0, nothingBroken)
 		time.Sleep(10 * time.Second)
 		fleet.callersOnlyOn(2)
-		fleet.drive("before", 1, 2*time.Second)
+		fleet.runCaller("before", 1, 2*time.Second)
 		node := fleet.nodes[fleet.name(2)]
 		must.True(t, node.Ready())
 		fleet.setCutOff(fleet.name(2), true)
 		fleet.cutFromServers(2, true)
-		fleet.drive("during", 2, 6*time.Second)
+		fleet.runCaller("during", 2, 6*time.Second)
 		must.False(t, node.Ready())
 		began := time.Now()
 		rejected := fleet.caller("late", rand.New(rand.NewPCG(1, 3)))
@@ -117,7 +118,7 @@
 		fleet.cutFromServers(2, false)
 		time.Sleep(3 * time.Second)
 		must.True(t, node.Ready())
-		must.Positive(t, fleet.drive("after", 4, 3*time.Second).Served)
+		must.Positive(t, fleet.runCaller("after", 4, 3*time.Second).Served)
 		must.SliceEmpty(t, fleet.promoter.Orders())
 		must.SliceEmpty(t, fleet.check.Violations)
 		fleet.end()
--- a/internal/proxy/degraded.go
+++ b/internal/proxy/degraded.go
@@ -14,12 +14,12 @@
 // servers and the store are all silent. A degraded node suspects no primary, accepts no new callers
 // and closes sessions that are between transactions, so that other nodes serve these callers.
 func (n *Node) checkDegraded(now time.Time) {
-	signs := n.serverSigns(now)
-	degraded, changed := n.EvaluateDegraded(now, signs)
+	answers := n.serverAnswers(now)
+	degraded, changed := n.EvaluateDegraded(now, answers)
 	n.Degraded.Store(degraded)
 	if changed {
 		n.log.Write(eventlog.NodeDegraded, zap.Bool("degraded", degraded),
-			zap.Int("servers_silent", signs.Overdue),
+			zap.Int("servers_silent", answers.Overdue),
 			zap.Int64("sessions", n.sessionCount.Load()))
 		if !degraded {
 			// Other nodes may have taken over leases in the meantime.
@@ -31,21 +31,22 @@
 	}
 }
 
-// serverSigns returns what the node has heard from the servers that it uses.
-func (n *Node) serverSigns(now time.Time) network.ServerAnswers {
-	var signs network.ServerAnswers
+// serverAnswers returns when a server last answered this node, and how many servers' answers are
+// overdue.
+func (n *Node) serverAnswers(now time.Time) network.ServerAnswers {
+	var answers network.ServerAnswers
 	n.Servers.Range(func(_, value any) bool {
 		stats := value.(*backends.Server).Stats
-		if heard := now.Add(-stats.SinceAnyAnswer(now)); heard.After(signs.LastAnswer) {
-			signs.LastAnswer = heard
+		if heard := now.Add(-stats.SinceAnyAnswer(now)); heard.After(answers.LastAnswer) {
+			answers.LastAnswer = heard
 		}
 		failures, _ := stats.Failures()
 		if failures > 0 || stats.Unanswered(now) > backends.SilenceTimeout {
-			signs.Overdue++
+			answers.Overdue++
 		}
 		return true
 	})
-	return signs
+	return answers
 }
 
 // impaired reports whether the node is isolated or degraded and can't serve callers.
--- a/internal/proxy/degradednodes_test.go
+++ b/internal/proxy/degradednodes_test.go
@@ -72,12 +72,12 @@
 	var working sync.WaitGroup
 	var mu sync.Mutex
 	for i := range fleetOfSeven {
-		driver := fleet.caller(fmt.Sprintf("c%d", i), rand.New(rand.NewPCG(seed, uint64(i))))
+		caller := fleet.caller(fmt.Sprintf("c%d", i), rand.New(rand.NewPCG(seed, uint64(i))))
 		working.Go(func() {
-			driver.Run(until)
+			caller.Run(until)
 			mu.Lock()
 			defer mu.Unlock()
-			served += driver.Served
+			served += caller.Served
 		})
 	}
 	for time.Now().Before(until.Add(-6 * time.Second)) {
@@ -126,14 +126,14 @@
 	}
 }
 
-// TestSilenceTakenForConsentIsNoticed guards against simulated runs that don't notice if a node
-// that doesn't answer counts as one that confirms that the primary is unreachable.
-func TestSilenceTakenForConsentIsNoticed(t *testing.T) {
+// TestSilenceCountedAsConfirmationIsDetected guards against simulated runs that don't notice
+// if a node that doesn't answer counts as one that confirms that the primary is unreachable.
+func TestSilenceCountedAsConfirmationIsDetected(t *testing.T) {
 	replaced := 0
 	for seed := range uint64(nodeFaultSeeds) {
 		bubbletest.Test(t, func(t *testing.T) {
 			fleet := prepareFleet(fleetConfig{nodes: fleetOfSeven})
-			fleet.silenceConsents = true
+			fleet.silenceConfirms = true
 			fleet.startNodes()
 			runWithNodeFaults(fleet, seed)
 			replaced += len(fleet.promoter.Orders())
--- a/internal/proxy/fleet_test.go
+++ b/internal/proxy/fleet_test.go
@@ -86,8 +86,8 @@
 	strictRevocation bool
 	// evacuationBound is 0 if zones are never evacuated.
 	evacuationBound time.Duration
-	// agreed is set if the nodes agree on tenures by quorum.
-	agreed bool
+	// usesTenures is set if the nodes agree on tenures by quorum.
+	usesTenures bool
 	// cutOff holds the nodes that are cut off from all other nodes.
 	cutOff map[string]bool
 	// unfencedFaults adds the faults that matter on platforms without fencing.
@@ -99,9 +99,9 @@
 	// nodes holds the running nodes by name.
 	nodes map[string]*proxy.Node
 	links *slowLinks
-	// silenceConsents breaks the rule on witnesses: a node that doesn't answer counts as one that
+	// silenceConfirms breaks the rule on witnesses: a node that doesn't answer counts as one that
 	// confirms that it doesn't reach a server.
-	silenceConsents bool
+	silenceConfirms bool
 }
 
 // lockedBuffer keeps a log in memory, because file writes don't take part in the virtual time of a
@@ -165,7 +165,7 @@
 	nodes, synchronousReplicas := cfg.nodes, cfg.synchronousReplicas
 	fleet := &simulatedFleet{
 		store: managed.NewStore(), check: judge.New(), zones: []string{"a", "b", "c"},
-		agreed: cfg.unfenced && !cfg.trustsServers, quotas: cfg.quotas,
+		usesTenures: cfg.unfenced && !cfg.trustsServers, quotas: cfg.quotas,
 		strictRevocation: cfg.strictRevocation, evacuationBound: cfg.evacuationBound,
 		broken: cfg.broken, nodes: map[string]*proxy.Node{}, paused: map[string]bool{},
 		cutOff: map[string]bool{}, links: newSlowLinks(),
@@ -222,7 +222,7 @@
 			Voters: managed.VoterKind, Readers: managed.ReaderKind, Evacuations: managed.EvacuationKind,
 		},
 		StrictRevocation: f.strictRevocation, RevocationBound: 5 * time.Second,
-		UsesTenures: f.agreed, MessageAddress: name, Quotas: f.quotas, TokenAddress: name,
+		UsesTenures: f.usesTenures, MessageAddress: name, Quotas: f.quotas, TokenAddress: name,
 		FirstStart: f.incarnations <= len(f.listeners),
 	}, proxy.Ports{
 		Store: &linkedStore{f.store.Client(name), f.links, name}, Promoter: f.promoter,
@@ -297,7 +297,7 @@
 	node := d.fleet.nodes[fmt.Sprintf("node-%d", d.node)]
 	d.fleet.mutex.Unlock()
 	if node != nil {
-		if via, detour := node.IndirectPathTo(target.Server); detour {
+		if via, indirect := node.IndirectPathTo(target.Server); indirect {
 			_, _ = fmt.Sscanf(via, "node-%d", &from)
 		}
 	}
@@ -388,7 +388,7 @@
 	return !f.cutOff[one] && !f.cutOff[other]
 }
 
-func (p memoryPeers) Ask(ctx context.Context, address string, question relay.Request) (relay.Answer, error) {
+func (p memoryPeers) Ask(ctx context.Context, address string, request relay.Request) (relay.Answer, error) {
 	time.Sleep(2 * time.Millisecond)
 	p.fleet.mutex.Lock()
 	node := p.fleet.nodes[address]
@@ -398,12 +398,12 @@
 	}
 	if !p.fleet.connected(p.name, address) {
 		<-ctx.Done()
-		if p.fleet.silenceConsents && question.Server != "" {
+		if p.fleet.silenceConfirms && request.Server != "" {
 			return relay.Answer{}, nil
 		}
 		return relay.Answer{}, ctx.Err()
 	}
-	answer := node.Answer(ctx, question)
+	answer := node.Answer(ctx, request)
 	content, err := msgpack.Marshal(answer)
 	p.fleet.answered.Add(int64(len(content)))
 	if err == nil {
--- a/internal/proxy/headroom.go
+++ b/internal/proxy/headroom.go
@@ -101,24 +101,24 @@
 		return false
 	}
 	work := r.urgentWork()
-	prospect := freshness.ReadOptions{
+	options := freshness.ReadOptions{
 		Allowed: r.remainingSlotWait(now),
 		Left:    min(work.Objective.Sub(now), work.Deadline.Sub(now)) - chosen.Stats.Latency(now),
 	}
-	prospect.PrimaryWait, prospect.PrimaryKnown = chosen.ReportedWait(admission.Anywhere, work.Level, now)
-	if !prospect.PrimaryKnown {
-		prospect.PrimaryWait = chosen.Gate.Wait(admission.Request{
+	options.PrimaryWait, options.PrimaryKnown = chosen.ReportedWait(admission.Anywhere, work.Level, now)
+	if !options.PrimaryKnown {
+		options.PrimaryWait = chosen.Gate.Wait(admission.Request{
 			Class: admission.Anywhere, Priority: r.session.bound.Priority, Arrived: r.arrived,
 		})
-		prospect.PrimaryKnown = prospect.PrimaryWait > 0
+		options.PrimaryKnown = options.PrimaryWait > 0
 	}
-	prospect.CatchUp, prospect.ReplicaKnown = r.catchUp(chosen, minimum, now, prospect.Allowed)
-	if prospect.Choose() != freshness.AwaitReplica {
+	options.CatchUp, options.ReplicaKnown = r.catchUp(chosen, minimum, now, options.Allowed)
+	if options.Choose() != freshness.AwaitReplica {
 		return false
 	}
-	r.session.record.headroom.replicaWait += prospect.CatchUp
+	r.session.record.headroom.replicaWait += options.CatchUp
 	r.service.CountDecision(work.Level, "awaited_replica")
-	r.pause(max(prospect.CatchUp, replicaRetryPause))
+	r.pause(max(options.CatchUp, replicaRetryPause))
 	return true
 }
 
--- a/internal/proxy/mutation_test.go
+++ b/internal/proxy/mutation_test.go
@@ -28,7 +28,7 @@
 	valuesNotSet
 	// rollbackIgnored: connections are returned with an open transaction.
 	rollbackIgnored
-	// tenantsMixed: all connections are opened in the node's own name.
+	// tenantsMixed: all connections are opened as the node itself.
 	tenantsMixed
 )
 
--- a/internal/proxy/node.go
+++ b/internal/proxy/node.go
@@ -72,8 +72,9 @@
 	Zone string
 	// PeerAddress is the address at which other nodes reach this one.
 	PeerAddress string
-	// UsesTenures makes the nodes agree on tenures by quorum. It is needed where the platform doesn't
-	// check fencing tokens. MessageAddress is where the node receives the quorum's messages.
+	// UsesTenures makes the nodes agree on tenures by quorum. It is needed where the platform
+	// doesn't check fencing tokens. MessageAddress is where the node receives the quorum's
+	// messages.
 	UsesTenures    bool
 	MessageAddress string
 	// Seeds are addresses of other nodes, which a starting node asks while the store doesn't
@@ -118,7 +119,7 @@
 	Decoder  network.Decoder
 	// Peers sends requests to other nodes.
 	Peers network.Peers
-	// Messages sends the quorum's messages; nil unless Options.Agreed is set.
+	// Messages sends the quorum's messages; nil unless Options.UsesTenures is set.
 	Messages tenure.Sender
 	// Tokens sends messages about quota tokens; nil disables quotas.
 	Tokens quota.Sender
@@ -128,9 +129,9 @@
 	Connect func(ctx context.Context, address string) (net.Conn, error)
 	// Client wraps an accepted connection.
 	Client func(net.Conn) Client
-	// Trace, if not nil, starts recording the failover state machine of a service. The rank is the
+	// Trace, if not nil, starts recording the failover state machine of a service. rankDelay is the
 	// delay of the machine's takeovers.
-	Trace func(service string, rank time.Duration) backends.FailoverTrace
+	Trace func(service string, rankDelay time.Duration) backends.FailoverTrace
 }
 
 // Node is a running node.
@@ -166,7 +167,7 @@
 		EntriesRefused: node.metrics.entriesRefused, Decoder: ports.Decoder, Peers: ports.Peers,
 		Traffic: ports.Traffic,
 	}
-	nodeNetwork := network.New(networkOptions(&options), networkPorts, networkDuties{node},
+	nodeNetwork := network.New(networkOptions(&options), networkPorts, networkDelegate{node},
 		node.catalog, node.started, log)
 	networkPorts.Store = nodeNetwork.Store()
 	node.Backends = backends.New(backendOptions(&options), backends.Ports{
@@ -195,7 +196,7 @@
 		Name: options.Name, Zone: options.Zone, Incarnation: options.Incarnation, Regions: options.Regions,
 		DrainBound: options.DrainBound, EvacuationBound: options.EvacuationBound,
 		ColdOverage: options.ColdOverage, ColdSlack: options.ColdSlack, FirstStart: options.FirstStart,
-		Agreed: options.UsesTenures, MessageAddress: options.MessageAddress, Kinds: options.Kinds,
+		UsesTenures: options.UsesTenures, MessageAddress: options.MessageAddress, Kinds: options.Kinds,
 		Capacity: options.Capacity,
 	}
 }
@@ -247,16 +248,16 @@
 // acceptPause is the pause after a failed accept, for instance when no file descriptors are left.
 const acceptPause = 20 * time.Millisecond
 
-// networkDuties implements network.Delegate on a Node, together with the methods of Backends.
-type networkDuties struct{ *Node }
+// networkDelegate implements network.Delegate on a Node, together with the methods of Backends.
+type networkDelegate struct{ *Node }
 
 // MembersChanged implements network.Delegate.
-func (d networkDuties) MembersChanged() { d.updateQuotaFleet() }
+func (d networkDelegate) MembersChanged() { d.updateQuotaFleet() }
 
 // AssignQuotaShare implements network.Delegate.
-func (d networkDuties) AssignQuotaShare(listed bool, now time.Time) bool {
-	return d.takeQuotaShare(listed, now)
+func (d networkDelegate) AssignQuotaShare(listed bool, now time.Time) bool {
+	return d.assignQuotaShare(listed, now)
 }
 
 // AwaitCatalogLoaded implements network.Delegate.
-func (d networkDuties) AwaitCatalogLoaded() { d.awaitConfiguration(time.Now()) }
+func (d networkDelegate) AwaitCatalogLoaded() { d.awaitConfiguration(time.Now()) }
--- a/internal/proxy/quotas.go
+++ b/internal/proxy/quotas.go
@@ -138,12 +138,12 @@
 // versions have to rank alike.
 func quotaKey(part int) string { return "quota bank " + string(rune('a'+part)) }
 
-// takeQuotaShare takes the node's share of the quotas once, and reports whether it has one. A node
-// that was listed before it started is already counted by the others, so it takes its share at
+// assignQuotaShare gives the node its share of the quotas once, and reports whether it has one. A
+// node that was listed before it started is already counted by the others, so it gets its share at
 // once. A node that is new to a running fleet waits until the others count it. While a fleet starts
 // for the first time, the list of members counts as complete once it has not grown since the
 // previous one.
-func (n *Node) takeQuotaShare(listed bool, now time.Time) bool {
+func (n *Node) assignQuotaShare(listed bool, now time.Time) bool {
 	if n.quotas == nil || n.hasShare {
 		return true
 	}
--- a/internal/proxy/quotas_test.go
+++ b/internal/proxy/quotas_test.go
@@ -53,17 +53,17 @@
 	})
 }
 
-// driveAll runs several callers at the same time and returns the sums of their results.
-func (f *simulatedFleet) driveAll(names []string, duration time.Duration) (total judge.Caller) {
+// runCallers runs several callers at the same time and returns the sums of their results.
+func (f *simulatedFleet) runCallers(names []string, duration time.Duration) (total judge.Caller) {
 	var working sync.WaitGroup
-	drivers := make([]*judge.Caller, len(names))
+	callers := make([]*judge.Caller, len(names))
 	for i, name := range names {
-		working.Go(func() { drivers[i] = f.drive(name, uint64(i), duration) })
+		working.Go(func() { callers[i] = f.runCaller(name, uint64(i), duration) })
 	}
 	working.Wait()
-	for _, driver := range drivers {
-		total.Served += driver.Served
-		total.Refused += driver.Refused
+	for _, caller := range callers {
+		total.Served += caller.Served
+		total.Refused += caller.Refused
 	}
 	return total
 }
@@ -94,7 +94,7 @@
 		half := catalog.Quota{PerSecond: 20, Burst: 20}
 		fleet := newQuotaFleet(manyNodes, false,
 			map[string]catalog.Quota{"amber": half, "birch": half, "cedar": half})
-		result := fleet.driveAll([]string{"c0", "c1", "c2"}, 20*time.Second)
+		result := fleet.runCallers([]string{"c0", "c1", "c2"}, 20*time.Second)
 		must.Eq(t, 0, result.Refused)
 		used := fleet.check.Operations("amber") + fleet.check.Operations("birch") + fleet.check.Operations("cedar")
 		must.Between(t, 3*20*7, used, 3*20*14)
@@ -183,7 +183,7 @@
 		time.Sleep(3 * time.Second)
 		began := time.Now()
 		fleet.callersOnlyOn(7)
-		result := fleet.driveAll([]string{"c0", "c3", "c6", "c9", "cc", "cf"}, 12*time.Second)
+		result := fleet.runCallers([]string{"c0", "c3", "c6", "c9", "cc", "cf"}, 12*time.Second)
 		must.Positive(t, result.Served)
 		must.LessEq(t, int(testBounds.MaxOperations(small)), fleet.checkQuota("amber", small, began))
 		must.Positive(t, fleet.check.Operations("amber"))
--- a/internal/proxy/report.go
+++ b/internal/proxy/report.go
@@ -64,7 +64,7 @@
 		fields = append(fields, zap.Stringer("outcome", reply.Failure.Kind),
 			zap.String("detail", reply.Failure.FullDetail()),
 			zap.Bool("promised_not_kept", reply.Failure.Kind.NotRun()))
-		if leases, agreed := s.node.LeaseAccount(s.bound.Service, now); agreed {
+		if leases, usesTenures := s.node.LeaseStatus(s.bound.Service, now); usesTenures {
 			fields = append(fields, zap.Any("leases", leases))
 		}
 	}
--- a/internal/proxy/session_test.go
+++ b/internal/proxy/session_test.go
@@ -66,14 +66,14 @@
 	must.Eq(t, 0, serveScript(t, true, false, ErrIdle, ErrIdle, nil).replies)
 }
 
-// TestSessionIsNotReadOnceMoreNearTheEnd guards against a planned stop that reads commands after it
+// TestNoFinalReadWhileAborting guards against a planned stop that reads commands after it
 // has begun to roll back transactions.
-func TestSessionIsNotReadOnceMoreNearTheEnd(t *testing.T) {
+func TestNoFinalReadWhileAborting(t *testing.T) {
 	must.Eq(t, 0, serveScript(t, true, true, ErrIdle, nil).replies)
 }
 
-// TestInterruptWithoutAStopIsNoEnd guards against interrupts that close sessions without a planned
+// TestInterruptDoesNotEndSession guards against interrupts that close sessions without a planned
 // stop.
-func TestInterruptWithoutAStopIsNoEnd(t *testing.T) {
+func TestInterruptDoesNotEndSession(t *testing.T) {
 	must.Eq(t, 2, serveScript(t, false, false, ErrIdle, nil, ErrIdle, nil, io.EOF).replies)
 }
--- a/internal/proxy/simulation_test.go
+++ b/internal/proxy/simulation_test.go
@@ -39,8 +39,8 @@
 func (f *simulatedFleet) injectFault(random *rand.Rand) {
 	duration := time.Duration(500+random.IntN(4000)) * time.Millisecond
 	if f.degradedServers && random.IntN(3) == 0 {
-		victims := managed.FaultTargets{Group: f.group, Store: f.store, Promoter: f.promoter}
-		victims.Inject(serverDegradations[random.IntN(len(serverDegradations))], random, duration)
+		targets := managed.FaultTargets{Group: f.group, Store: f.store, Promoter: f.promoter}
+		targets.Inject(serverDegradations[random.IntN(len(serverDegradations))], random, duration)
 		return
 	}
 	kinds := faultKinds
@@ -51,8 +51,8 @@
 	f.log.Write("trouble", zap.Int("kind", kind), zap.Duration("span", duration),
 		zap.String("primary", f.group.Primary().ID()))
 	if fault, found := standinFaults[kind]; found {
-		victims := managed.FaultTargets{Group: f.group, Store: f.store, Promoter: f.promoter}
-		victims.Inject(fault, random, duration)
+		targets := managed.FaultTargets{Group: f.group, Store: f.store, Promoter: f.promoter}
+		targets.Inject(fault, random, duration)
 		return
 	}
 	f.injectNodeFault(kind, random, duration)
@@ -152,9 +152,9 @@
 	var callers []*judge.Caller
 	var working sync.WaitGroup
 	for i := range 9 {
-		driver := fleet.caller(fmt.Sprintf("c%d", i), rand.New(rand.NewPCG(seed, uint64(i))))
-		callers = append(callers, driver)
-		working.Go(func() { driver.Run(until) })
+		caller := fleet.caller(fmt.Sprintf("c%d", i), rand.New(rand.NewPCG(seed, uint64(i))))
+		callers = append(callers, caller)
+		working.Go(func() { caller.Run(until) })
 	}
 	for stream := range 2 {
 		random := rand.New(rand.NewPCG(seed, uint64(1000+stream)))
@@ -172,10 +172,10 @@
 	}
 	result := outcome{violations: fleet.check.Violations, reads: fleet.check.Reads, writes: fleet.check.Writes}
 	result.acknowledgedLost = fleet.check.AcknowledgedLost()
-	for _, driver := range callers {
-		result.served += driver.Served
-		result.refused += driver.Refused
-		result.unknown += driver.Unknown
+	for _, caller := range callers {
+		result.served += caller.Served
+		result.refused += caller.Refused
+		result.unknown += caller.Unknown
 	}
 	return result
 }
@@ -306,52 +306,52 @@
 	})
 }
 
-// TestServerWithAFullQueueIsNotLeftOutOfTheChoice guards against the promotion of a replica that
-// lags but answers the survey at once, while the busy replica has all commits.
-func TestServerWithAFullQueueIsNotLeftOutOfTheChoice(t *testing.T) {
+// TestBusyServerIsPromotionCandidate guards against the promotion of a replica that lags but
+// answers the survey at once, while the busy replica has all commits.
+func TestBusyServerIsPromotionCandidate(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		fleet := newFleet(3, 0, nothingBroken)
 		time.Sleep(8 * time.Second)
 		fleet.group.Server(2).SetReceiveBlocked(true)
-		driver := fleet.caller("c", rand.New(rand.NewPCG(1, 1)))
-		driver.Run(time.Now().Add(3 * time.Second))
+		caller := fleet.caller("c", rand.New(rand.NewPCG(1, 1)))
+		caller.Run(time.Now().Add(3 * time.Second))
 		busy := fleet.group.Server(1)
 		busy.SetBusy(time.Now().Add(2500 * time.Millisecond))
 		time.Sleep(200 * time.Millisecond)
 		lost := fleet.group.Primary()
 		lost.Crash()
-		driver.Run(time.Now().Add(4 * time.Second))
+		caller.Run(time.Now().Add(4 * time.Second))
 		must.Eq(t, busy.ID(), fleet.group.Primary().ID())
 		must.Eq(t, 0, fleet.check.AcknowledgedLost())
 		fleet.end()
 	})
 }
 
-// TestFullServerIsNotTakenForADeadOne guards against the failover of a primary that nodes can't ask
-// because all its connections are in use.
-func TestFullServerIsNotTakenForADeadOne(t *testing.T) {
+// TestServerWithoutFreeConnectionsIsNotReplaced guards against the failover of a primary
+// that nodes can't ask because all its connections are in use.
+func TestServerWithoutFreeConnectionsIsNotReplaced(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		fleet := newFleet(3, 0, nothingBroken)
 		fleet.group.SetConnections(0)
 		var working sync.WaitGroup
 		until := time.Now().Add(10 * time.Second)
 		for i := range 6 {
-			driver := fleet.caller(fmt.Sprintf("c%d", i), rand.New(rand.NewPCG(1, uint64(i))))
-			working.Go(func() { driver.Run(until) })
+			caller := fleet.caller(fmt.Sprintf("c%d", i), rand.New(rand.NewPCG(1, uint64(i))))
+			working.Go(func() { caller.Run(until) })
 		}
 		working.Wait()
 		must.SliceEmpty(t, fleet.promoter.Orders())
 		fleet.group.SetConnections(24)
-		driver := fleet.caller("last", rand.New(rand.NewPCG(1, 99)))
-		driver.Run(time.Now().Add(5 * time.Second))
-		must.Positive(t, driver.Served)
+		caller := fleet.caller("last", rand.New(rand.NewPCG(1, 99)))
+		caller.Run(time.Now().Add(5 * time.Second))
+		must.Positive(t, caller.Served)
 		fleet.end()
 	})
 }
 
-// TestNodesThatAreCutOffGoThroughAnother guards against a failover, or rejected callers, when one
+// TestCutOffNodesUseIndirectPath guards against a failover, or rejected callers, when one
 // node of five or all but one don't reach the primary.
-func TestNodesThatAreCutOffGoThroughAnother(t *testing.T) {
+func TestCutOffNodesUseIndirectPath(t *testing.T) {
 	for _, cut := range [][]int{{4}, {1, 2, 3, 4}} {
 		bubbletest.Test(t, func(t *testing.T) {
 			fleet := newFleet(5, 0, nothingBroken)
@@ -370,10 +370,10 @@
 				fleet.sendNoCallers(i)
 			}
 			drive(4 * time.Second)
-			driver := drive(4 * time.Second)
+			caller := drive(4 * time.Second)
 			must.SliceEmpty(t, fleet.promoter.Orders())
-			must.Greater(t, 10, driver.Served)
-			must.LessEq(t, 2, driver.Refused, must.Sprintf("cut off: %v", cut))
+			must.Greater(t, 10, caller.Served)
+			must.LessEq(t, 2, caller.Refused, must.Sprintf("cut off: %v", cut))
 			must.SliceEmpty(t, fleet.check.Violations)
 			fleet.end()
 		})
--- a/internal/proxy/start_test.go
+++ b/internal/proxy/start_test.go
@@ -11,9 +11,9 @@
 	"dewknot/internal/lab/judge"
 )
 
-// TestCallersOfANodeThatStartsAreHeld guards against rejected callers on a node that has not loaded
+// TestCallersWaitForStartingNode guards against rejected callers on a node that has not loaded
 // its configuration yet because the store is slow.
-func TestCallersOfANodeThatStartsAreHeld(t *testing.T) {
+func TestCallersWaitForStartingNode(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		fleet := newFleet(fleetOfFive, 0, nothingBroken)
 		time.Sleep(6 * time.Second)
@@ -28,14 +28,14 @@
 		must.NotNil(t, session)
 		must.NotNil(t, route)
 		must.Less(t, 500*time.Millisecond, time.Since(began))
-		must.Positive(t, fleet.drive("c", 2, 2*time.Second).Served)
+		must.Positive(t, fleet.runCaller("c", 2, 2*time.Second).Served)
 		fleet.end()
 	})
 }
 
-// TestCallersAreNotHeldForEver guards against callers that wait past their own timeout for a node
+// TestCallersDoNotWaitForever guards against callers that wait past their own timeout for a node
 // that can't load its configuration.
-func TestCallersAreNotHeldForEver(t *testing.T) {
+func TestCallersDoNotWaitForever(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		fleet := prepareFleet(fleetConfig{nodes: 1})
 		fleet.store.SetDown(true)
--- a/internal/proxy/trace_test.go
+++ b/internal/proxy/trace_test.go
@@ -22,29 +22,29 @@
 	mutex   sync.Mutex
 	content map[string]*bytes.Buffer
 	writers []*trace.FailoverWriter
-	// agreed is set if the nodes agree on tenures by quorum.
-	agreed bool
+	// usesTenures is set if the nodes agree on tenures by quorum.
+	usesTenures bool
 }
 
 // recordTraces records the failover state machines of all nodes that start from now on.
 func (f *simulatedFleet) recordTraces() {
-	f.traces = &traceRecorder{content: map[string]*bytes.Buffer{}, agreed: f.agreed}
+	f.traces = &traceRecorder{content: map[string]*bytes.Buffer{}, usesTenures: f.usesTenures}
 }
 
 // of returns the function that records the machines of one incarnation of a node; nil if the
 // recorder is nil.
 func (r *traceRecorder) of(
 	node, incarnation string,
-) func(service string, rank time.Duration) backends.FailoverTrace {
+) func(service string, rankDelay time.Duration) backends.FailoverTrace {
 	if r == nil {
 		return nil
 	}
-	return func(service string, rank time.Duration) backends.FailoverTrace {
+	return func(service string, rankDelay time.Duration) backends.FailoverTrace {
 		r.mutex.Lock()
 		defer r.mutex.Unlock()
 		content := &bytes.Buffer{}
 		writer := trace.NewFailoverWriter(content,
-			trace.FailoverSettings{Node: node, Incarnation: incarnation, RankDelay: rank, UsesTenures: r.agreed})
+			trace.FailoverSettings{Node: node, Incarnation: incarnation, RankDelay: rankDelay, UsesTenures: r.usesTenures})
 		r.content[fmt.Sprintf("%s-%s-%s", service, node, incarnation)] = content
 		r.writers = append(r.writers, writer)
 		return &lockedTrace{recorder: r, writer: writer}
--- a/internal/proxy/unfenced_test.go
+++ b/internal/proxy/unfenced_test.go
@@ -22,10 +22,10 @@
 	after time.Duration
 }
 
-// runScenario simulates a scenario and returns the stopped fleet and its callers. Without agreed,
+// runScenario simulates a scenario and returns the stopped fleet and its callers. Without tenures,
 // the nodes trust the servers' own statements, as on platforms with fencing.
-func runScenario(scenario unfencedScenario, agreed bool) (*simulatedFleet, []*judge.Caller) {
-	fleet := prepareFleet(fleetConfig{nodes: scenario.nodes, unfenced: true, trustsServers: !agreed})
+func runScenario(scenario unfencedScenario, usesTenures bool) (*simulatedFleet, []*judge.Caller) {
+	fleet := prepareFleet(fleetConfig{nodes: scenario.nodes, unfenced: true, trustsServers: !usesTenures})
 	fleet.startNodes()
 	time.Sleep(8 * time.Second)
 	var callers []*judge.Caller
