--- a/internal/proxy/leadership/outage.go
+++ b/internal/proxy/leadership/outage.go
@@ -15,11 +15,13 @@
 	outageWeight = 0.3
 )
 
-// OutageEstimator estimates how long a service is without a primary that answers, from the length of
-// earlier outages. It is safe for concurrent use.
+// OutageEstimator estimates how long a service is without a primary that answers, from the length
+// of earlier outages. It is safe for concurrent use.
 type OutageEstimator struct {
-	mu    sync.Mutex
+	mu sync.Mutex
+	// since is the start of the present outage, zero if there is none.
 	since time.Time
+	// usual is the moving average of the lengths of earlier outages, zero if there were none.
 	usual time.Duration
 }
 
@@ -40,8 +42,8 @@
 	}
 }
 
-// ExpectedRest returns how long the present outage is expected to continue: the rest of the usual length,
-// and after that half of the time it has lasted.
+// ExpectedRest returns how long the present outage is expected to continue: the rest of the usual
+// length, and after that half of the time it has lasted.
 func (o *OutageEstimator) ExpectedRest(now time.Time) time.Duration {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/proxy/leadership/primary_view.go
+++ b/internal/proxy/leadership/primary_view.go
@@ -33,97 +33,99 @@
 }
 
 // Leader returns the primary in this node's view, or "" if none is known.
-func (b *PrimaryView) Leader() string {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	return b.leader
+func (v *PrimaryView) Leader() string {
+	v.mutex.Lock()
+	defer v.mutex.Unlock()
+	return v.leader
 }
 
 // Term returns the term of the last confirmation.
-func (b *PrimaryView) Term() uint64 {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	return b.term
+func (v *PrimaryView) Term() uint64 {
+	v.mutex.Lock()
+	defer v.mutex.Unlock()
+	return v.term
 }
 
 // Changed returns a channel that is closed when the primary next changes.
-func (b *PrimaryView) Changed() <-chan struct{} {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	return b.changed
+func (v *PrimaryView) Changed() <-chan struct{} {
+	v.mutex.Lock()
+	defer v.mutex.Unlock()
+	return v.changed
 }
 
-// ApplyAnnouncement applies an announcement of the directory, at a revision, that a server is the primary.
-// It reports whether the primary changed.
-func (b *PrimaryView) ApplyAnnouncement(id string, revision era.Revision) bool {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	if revision <= b.announcedRevision {
+// ApplyAnnouncement applies the directory's announcement, at a revision, that a server is the
+// primary. It reports whether the primary changed. An announcement that is not newer than the last
+// one is ignored.
+func (v *PrimaryView) ApplyAnnouncement(id string, revision era.Revision) bool {
+	v.mutex.Lock()
+	defer v.mutex.Unlock()
+	if revision <= v.announcedRevision {
 		return false
 	}
-	b.announcedRevision = revision
-	delete(b.deniedAt, id)
-	return b.set(id)
+	v.announcedRevision = revision
+	delete(v.deniedAt, id)
+	return v.set(id)
 }
 
 // Confirm records a server's own proof that it is the primary in a term. It reports whether the
-// primary changed.
-func (b *PrimaryView) Confirm(id string, term uint64) bool {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	if term < b.term {
+// primary changed. A proof of an older term than the last one is ignored.
+func (v *PrimaryView) Confirm(id string, term uint64) bool {
+	v.mutex.Lock()
+	defer v.mutex.Unlock()
+	if term < v.term {
 		return false
 	}
-	b.term = term
-	delete(b.deniedAt, id)
-	return b.set(id)
+	v.term = term
+	delete(v.deniedAt, id)
+	return v.set(id)
 }
 
-// RecordDenialAndClear records a server's own statement that it is not the primary, and clears the primary if
-// it was that server. It reports whether the primary changed.
-func (b *PrimaryView) RecordDenialAndClear(id string, now time.Time) bool {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	b.deniedAt[id] = now
-	if b.leader != id {
+// RecordDenialAndClear records a server's own statement that it is not the primary, and clears the
+// primary if it was that server. It reports whether the primary changed.
+func (v *PrimaryView) RecordDenialAndClear(id string, now time.Time) bool {
+	v.mutex.Lock()
+	defer v.mutex.Unlock()
+	v.deniedAt[id] = now
+	if v.leader != id {
 		return false
 	}
-	return b.set("")
+	return v.set("")
 }
 
-// RecordDenial records a server's own statement that it is not the primary, where the nodes agree on the
-// primary: the view does not change. It reports whether the statement is new.
-func (b *PrimaryView) RecordDenial(id string, now time.Time) bool {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	at, found := b.deniedAt[id]
-	b.deniedAt[id] = now
+// RecordDenial records a server's own statement that it is not the primary, but does not change the
+// view. It is for services whose nodes agree on the primary, and which change it with SetAgreed. It
+// returns false if the server had already denied the role recently.
+func (v *PrimaryView) RecordDenial(id string, now time.Time) bool {
+	v.mutex.Lock()
+	defer v.mutex.Unlock()
+	at, found := v.deniedAt[id]
+	v.deniedAt[id] = now
 	return !found || now.Sub(at) >= denialTTL
 }
 
 // SetAgreed sets the primary on which the nodes agree, or "" if there is none at the moment. It
 // reports whether the primary changed.
-func (b *PrimaryView) SetAgreed(id string) bool {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	delete(b.deniedAt, id)
-	return b.set(id)
+func (v *PrimaryView) SetAgreed(id string) bool {
+	v.mutex.Lock()
+	defer v.mutex.Unlock()
+	delete(v.deniedAt, id)
+	return v.set(id)
 }
 
 // RecentlyDenied reports whether a server has recently denied being the primary.
-func (b *PrimaryView) RecentlyDenied(id string, now time.Time) bool {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	at, found := b.deniedAt[id]
+func (v *PrimaryView) RecentlyDenied(id string, now time.Time) bool {
+	v.mutex.Lock()
+	defer v.mutex.Unlock()
+	at, found := v.deniedAt[id]
 	return found && now.Sub(at) < denialTTL
 }
 
-func (b *PrimaryView) set(id string) bool {
-	if b.leader == id {
+func (v *PrimaryView) set(id string) bool {
+	if v.leader == id {
 		return false
 	}
-	b.leader = id
-	close(b.changed)
-	b.changed = make(chan struct{})
+	v.leader = id
+	close(v.changed)
+	v.changed = make(chan struct{})
 	return true
 }
