--- a/internal/proxy/loadreport/loadreport.go
+++ b/internal/proxy/loadreport/loadreport.go
@@ -1,5 +1,5 @@
-// Package loadreport keeps load reports of servers. The node that owns a server's connections adds a
-// Report to each answer. Nodes that use the server through the owner keep the newest report in a
+// Package loadreport keeps load reports of servers. The node that owns a server's connections adds
+// a Report to each answer. Nodes that use the server through the owner keep the newest report in a
 // View. They use it to reject work or send it elsewhere before they ask the owner.
 //
 // A report is only a hint and it expires. Without a recent one a node rejects nothing: the owner
@@ -15,13 +15,13 @@
 
 // Report is an owner's load report of a server.
 type Report struct {
-	// Sequence rises with each report of an incarnation of the owner's process. Life identifies the
-	// incarnation. A link leads to one incarnation, so the receiving node sets Life and it is not
-	// sent.
+	// Incarnation identifies the incarnation of the owner's process. A link leads to one
+	// incarnation, so the receiving node sets this field and it is not sent. Sequence increases with
+	// each report of an incarnation.
 	Incarnation uint64 `msgpack:"-"`
 	Sequence    uint64
 	// Waits is the expected wait of new work at each level in milliseconds, for work that other
-	// servers could run, too. Kept is the same for work that only this server can run.
+	// servers could run, too. WaitsOnlyHere is the same for work that only this server can run.
 	Waits         [urgency.Levels]uint16
 	WaitsOnlyHere [urgency.Levels]uint16
 	// Running counts the work that has a slot, Waiting the work that waits for one. Limit is how
@@ -32,8 +32,7 @@
 	// Behind is how far behind the primary the server was, at least, when it last reported its
 	// position, in milliseconds; 0 if nothing recent shows a lag.
 	Behind uint16
-	// OwnerDelay is how long the owner had had the request when it made the report, in milliseconds. The
-	// report is younger than the request by this time.
+	// OwnerDelay is the time from the owner's receipt of the request to the report, in milliseconds.
 	OwnerDelay uint16
 }
 
@@ -55,8 +54,8 @@
 type View struct {
 	mu     sync.Mutex
 	report Report
-	// at is a time before the report was made: when the request was sent that was answered with the
-	// report, plus the time for which the owner had had the request.
+	// at is a time not later than the report was made: the time when the request was sent, plus
+	// OwnerDelay.
 	at        time.Time
 	hasReport bool
 }
@@ -75,7 +74,7 @@
 }
 
 // Wait returns how long new work of a level is expected to wait at the owner. It returns false if
-// nothing recent is known. The reported wait falls linearly to zero over Life.
+// nothing recent is known. The reported wait falls linearly to zero over MaxAge.
 func (v *View) Wait(now time.Time, level urgency.Level) (time.Duration, bool) {
 	report, age, ok := v.Newest(now)
 	return decayed(report.Waits[min(level, urgency.Least)], age), ok
--- a/internal/proxy/loadreport/loadreport_test.go
+++ b/internal/proxy/loadreport/loadreport_test.go
@@ -24,14 +24,14 @@
 	_, ok := v.Wait(start, 0)
 	must.False(t, ok)
 	v.Observe(start, &Report{Incarnation: 1, Sequence: 1, Waits: waits(100), WaitsOnlyHere: waits(40)})
-	for _, at := range []struct{ age, wait, kept time.Duration }{
+	for _, at := range []struct{ age, wait, onlyHere time.Duration }{
 		{0, 100, 40}, {MaxAge / 4, 75, 30}, {MaxAge / 2, 50, 20}, {3 * MaxAge / 4, 25, 10},
 	} {
 		wait, ok := v.Wait(start.Add(at.age), 1)
 		must.True(t, ok)
 		must.Eq(t, at.wait*time.Millisecond, wait)
-		kept, _ := v.WaitOnlyHere(start.Add(at.age), 1)
-		must.Eq(t, at.kept*time.Millisecond, kept)
+		onlyHere, _ := v.WaitOnlyHere(start.Add(at.age), 1)
+		must.Eq(t, at.onlyHere*time.Millisecond, onlyHere)
 	}
 	_, ok = v.Wait(start.Add(MaxAge), 1)
 	must.False(t, ok)
@@ -78,7 +78,7 @@
 		must.NoError(t, codec.Decode(frame, &received))
 		must.Eq(t, sent, received)
 	})
-	calm, err := codec.Append(nil, &Report{Sequence: 1_000, Running: 3, Limit: 8})
+	small, err := codec.Append(nil, &Report{Sequence: 1_000, Running: 3, Limit: 8})
 	must.NoError(t, err)
-	must.LessEq(t, 20, len(calm))
+	must.LessEq(t, 20, len(small))
 }
