--- a/internal/proxy/quorum/member.go
+++ b/internal/proxy/quorum/member.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Lease is the expiry of a voter's last grant, in nanoseconds since the member's base time.
-// Requests read it concurrently.
+// Lease is the expiry of a voter's last grant, in nanoseconds on the monotonic clock since the
+// member's base time. Requests read it concurrently.
 type Lease struct{ until atomic.Int64 }
 
 // View is what a member knows about a service's tenure. It is immutable, but the leases that
@@ -414,9 +414,9 @@
 	return silent
 }
 
-// ReachableVoters returns the number of voters whose last answer is within the window plus their measured
-// delay. A voter that has not answered yet counts from the time the table was set, the member's
-// own voter always.
+// ReachableVoters returns the number of voters whose last answer is within the window plus their
+// measured delay. For a voter that has not answered yet, the window begins when the table was set.
+// The member's own voter always counts.
 func (n *Member) ReachableVoters(now time.Time, window time.Duration) int {
 	count := 0
 	for _, p := range n.peers {
@@ -427,7 +427,8 @@
 	return count
 }
 
-// VotersWithoutState returns the number of other voters that have no state and answered within the window.
+// VotersWithoutState returns the number of other voters that have no state and answered within the
+// window.
 func (n *Member) VotersWithoutState(now time.Time, window time.Duration) int {
 	count := 0
 	for _, p := range n.peers {
--- a/internal/proxy/quorum/message.go
+++ b/internal/proxy/quorum/message.go
@@ -78,8 +78,8 @@
 	Generation  uint64
 	// Sequence is chosen by the requester and returned with the answer.
 	Sequence uint64
-	// KnownRevision is the revision up to which a member knows a voter's records. KnownIncarnation is the
-	// voter's incarnation to which that revision belongs.
+	// KnownRevision is the revision up to which a member knows a voter's records. KnownIncarnation
+	// is the voter's incarnation to which that revision belongs.
 	KnownRevision    uint64
 	KnownIncarnation uint64
 	// Revision is the revision up to which the voter's records have been sent.
@@ -95,8 +95,9 @@
 	Ordering bool
 	// Term is, with Open, the term in which the primary leads.
 	Term uint64
-	// Unconfirmed is set, with Open, if an order is unconfirmed. UnconfirmedFor is, with Promised, how long
-	// an unconfirmed order in the record may still be carried out.
+	// Unconfirmed is set, with Open, if an order for the primary may not have been answered.
+	// UnconfirmedFor is, with Promised, how long the unconfirmed order in the record may still be
+	// carried out.
 	Unconfirmed    bool
 	UnconfirmedFor time.Duration
 	// Clear is set if the voter has no outstanding lease of a closed tenure.
--- a/internal/proxy/quorum/model_test.go
+++ b/internal/proxy/quorum/model_test.go
@@ -460,7 +460,7 @@
 				continue
 			}
 			for _, reply := range w.voters[entry.Name].Step(w.now, "store", &request.Message) {
-				sealing.Take(&reply.Message)
+				sealing.AddAnswer(&reply.Message)
 			}
 		}
 	}
--- a/internal/proxy/quorum/nearest.go
+++ b/internal/proxy/quorum/nearest.go
@@ -26,8 +26,8 @@
 	return p.unable || p.misses > 0 || p.rtt.smoothed > maxUsableRTT
 }
 
-// idle returns the voters that get no renewals. A voter whose records are complete is not idle until
-// those of the nearest voters are complete as well.
+// idle returns the voters that get no renewals. A voter whose records are complete is not idle
+// until those of the nearest voters are complete as well.
 func (n *Member) idle(mode RenewalMode) []*peer {
 	if n.distances == nil || n.table == nil || mode == RenewEagerAll || mode == RenewRecovering || n.table.VoterEntry(n.name) != nil {
 		return nil
--- a/internal/proxy/quorum/outbox.go
+++ b/internal/proxy/quorum/outbox.go
@@ -7,8 +7,8 @@
 )
 
 // Limits of the records in flight to all members, in bytes. minWindowBytes are always allowed:
-// about a hundred messages with one record, or 65 ms of a 2 Mbit/s link, behind which answers to
-// candidates and renewals may have to wait. The window grows up to maxWindowBytes while members
+// about a hundred messages with one record. Answers to candidates and renewals may have to wait
+// behind them, for 65 ms on a link of 2 Mbit/s. The window grows up to maxWindowBytes while members
 // answer within fastAnswer, which shows that the link has capacity left.
 const (
 	minWindowBytes = 16 << 10
@@ -207,8 +207,8 @@
 	return trimmed
 }
 
-// uptimeMillis returns the time since the voter's start in milliseconds, at least 1. It is sent with
-// a push and returned with the answer.
+// uptimeMillis returns the time since the voter's start in milliseconds, at least 1. It is sent
+// with a push and returned with the answer, which gives the round-trip time.
 func (v *Voter) uptimeMillis(now time.Time) uint64 {
 	return uint64(max(0, now.Sub(v.started))/time.Millisecond) + 1
 }
--- a/internal/proxy/quorum/pacer.go
+++ b/internal/proxy/quorum/pacer.go
@@ -10,11 +10,11 @@
 	RenewNormal RenewalMode = iota
 	// RenewEager is used while something waits for leases or records.
 	RenewEager
-	// RenewEagerAll is used like the previous mode, but sends to all voters because the nearest ones do
+	// RenewEagerAll is RenewEager with requests to all voters. It is used when the nearest ones do
 	// not suffice.
 	RenewEagerAll
-	// RenewRecovering is used by a voter that needs the records of the other voters, at most four, to
-	// recover.
+	// RenewRecovering is used by a recovering voter, which needs the records of the other voters.
+	// These are at most four.
 	RenewRecovering
 )
 
@@ -22,8 +22,8 @@
 	// eagerPause is the delay from an answered request to the next one while something waits for
 	// leases or records. It doubles with each answer that was not useful.
 	eagerPause = 25 * time.Millisecond
-	// urgentPause is the same delay for a recovering voter.
-	urgentPause = 40 * time.Millisecond
+	// recoveringPause is the same delay for a recovering voter.
+	recoveringPause = 40 * time.Millisecond
 	// spareInterval is the interval of requests to voters whose leases are not needed. These
 	// requests measure the round-trip time.
 	spareInterval = 5 * time.Second
@@ -80,7 +80,7 @@
 	case p.waiting:
 		return p.lastSentAt.Add(p.rtt.timeout(p.misses, limit))
 	case mode == RenewRecovering:
-		return p.lastSentAt.Add(urgentPause)
+		return p.lastSentAt.Add(recoveringPause)
 	case mode == RenewEager || mode == RenewEagerAll || incomplete:
 		return p.lastSentAt.Add(backoff(eagerPause, p.emptyAnswers, limit))
 	default:
--- a/internal/proxy/quorum/pacer_test.go
+++ b/internal/proxy/quorum/pacer_test.go
@@ -34,12 +34,12 @@
 // late or missing.
 func TestRequestsSlowDownWithLateAnswers(t *testing.T) {
 	fast, slow := countRequests(RenewEager, 20*time.Millisecond, true), countRequests(RenewEager, 700*time.Millisecond, true)
-	silent, calm := countRequests(RenewEager, 0, false), countRequests(RenewNormal, 700*time.Millisecond, true)
-	t.Logf("requests per second: %d at 20 ms, %d at 700 ms, %d without answers, %d calm at 700 ms", fast, slow, silent, calm)
+	silent, normalMode := countRequests(RenewEager, 0, false), countRequests(RenewNormal, 700*time.Millisecond, true)
+	t.Logf("requests per second: %d at 20 ms, %d at 700 ms, %d without answers, %d in normal mode at 700 ms", fast, slow, silent, normalMode)
 	must.Between(t, 5, fast, 7)
 	must.LessEq(t, 4, slow)
 	must.LessEq(t, 4, silent)
-	must.LessEq(t, 4, calm)
+	must.LessEq(t, 4, normalMode)
 	must.LessEq(t, 27, countRequests(RenewRecovering, 20*time.Millisecond, true))
 }
 
@@ -60,8 +60,8 @@
 	must.Len(t, 1, n.SilentVoters(at(23_000), 1500*time.Millisecond, time.Second))
 }
 
-// TestMajorityWithLowestRTTIsRenewed guards against renewing leases with distant voters, and against
-// a gap in coverage when a near voter stops answering.
+// TestMajorityWithLowestRTTIsRenewed guards against renewing leases with distant voters, and
+// against a gap in coverage when a near voter stops answering.
 func TestMajorityWithLowestRTTIsRenewed(t *testing.T) {
 	table := &Table{Generation: 1}
 	voters := map[string]*Voter{}
--- a/internal/proxy/quorum/quorum.go
+++ b/internal/proxy/quorum/quorum.go
@@ -65,7 +65,7 @@
 	StateLossAge = AnswerWindow
 	// MaxVoters is the maximum number of voters in a table. Two of five may fail.
 	MaxVoters = 5
-	// UnconfirmedWindow is how long an unconfirmed order may still be carried out.
+	// UnconfirmedWindow is how long an order that was not answered may still be carried out.
 	UnconfirmedWindow = 6 * time.Second
 	// pageRecords is how many records one message carries: about a kilobyte, which fits into
 	// a datagram. memberPageRecords is the limit for members that are not voters; their
@@ -104,8 +104,8 @@
 	// Term is the highest log term in which a primary of an open tenure led. A server that
 	// claims to lead in an older term has been replaced.
 	Term uint64 `json:"term,omitempty"`
-	// Unconfirmed is the server of an unconfirmed order, which may be carried out again within
-	// UnconfirmedWindow of the opening of its tenure.
+	// Unconfirmed is the server of an order that may not have been answered. The order may be
+	// carried out again within UnconfirmedWindow of the opening of its tenure.
 	Unconfirmed string `json:"loose,omitempty"`
 }
 
@@ -187,9 +187,9 @@
 // store and one to the voters.
 const generationsPerStoreEra = 64
 
-// NextGeneration returns the number of the generation after this table, which may be nil, when it is
-// written in storeEra. No table that the store has lost had that number: two tables of one
-// number could list different voters.
+// NextGeneration returns the number of the generation after this table, which may be nil, for a
+// table that is written in storeEra. No table that the store has lost had that number: two tables
+// of one number could list different voters.
 func (t *Table) NextGeneration(storeEra uint64) uint64 {
 	if t == nil {
 		return 1 + generationsPerStoreEra*storeEra
--- a/internal/proxy/quorum/quorum_test.go
+++ b/internal/proxy/quorum/quorum_test.go
@@ -10,9 +10,11 @@
 	_ "dewknot/internal/base/propertytest" // fixes the seed
 )
 
-var epoch = time.Unix(1_000_000, 0)
+var startTime = time.Unix(1_000_000, 0)
 
-func at(milliseconds int) time.Time { return epoch.Add(time.Duration(milliseconds) * time.Millisecond) }
+func at(milliseconds int) time.Time {
+	return startTime.Add(time.Duration(milliseconds) * time.Millisecond)
+}
 
 // group consists of three voters and one member, without a network.
 type group struct {
@@ -252,7 +254,7 @@
 		for _, envelope := range requests {
 			if envelope.To == groupNames[i] {
 				for _, reply := range g.voters[i].Step(at(2100), "k", &envelope.Message) {
-					sealing.Take(&reply.Message)
+					sealing.AddAnswer(&reply.Message)
 				}
 			}
 		}
@@ -280,7 +282,7 @@
 			for i, name := range groupNames[:2] {
 				if name == envelope.To {
 					for _, reply := range lost.voters[i].Step(at(5000+age), "k", &envelope.Message) {
-						sealing.Take(&reply.Message)
+						sealing.AddAnswer(&reply.Message)
 					}
 				}
 			}
--- a/internal/proxy/quorum/sealing.go
+++ b/internal/proxy/quorum/sealing.go
@@ -65,7 +65,8 @@
 	return Envelope{entry.Address, request}
 }
 
-// NextRequests returns a request for more pages if the answer just taken was the last to its request.
+// NextRequests returns a request for more pages if the answer just taken was the last one to its
+// request.
 func (s *Sealing) NextRequests(m *Message, from string, incarnation, sequence uint64) []Envelope {
 	state, entry := s.states[m.From], s.table.VoterEntry(m.From)
 	if state == nil || state.complete || state.awaitedPages > 0 {
@@ -74,8 +75,8 @@
 	return []Envelope{s.request(entry, from, incarnation, sequence)}
 }
 
-// Take processes a voter's answer and reports whether it made progress.
-func (s *Sealing) Take(m *Message) bool {
+// AddAnswer adds the records of a voter's answer and reports whether it made progress.
+func (s *Sealing) AddAnswer(m *Message) bool {
 	if m.Kind != Sealed || m.Generation != s.table.Generation || s.table.VoterEntry(m.From) == nil {
 		return false
 	}
--- a/internal/proxy/quorum/sealing_test.go
+++ b/internal/proxy/quorum/sealing_test.go
@@ -49,7 +49,7 @@
 			case packet.To == "v0":
 				packets = append(packets, v.Step(at(1), "n", &packet.Message)...)
 			default:
-				s.Take(&packet.Message)
+				s.AddAnswer(&packet.Message)
 				collected, ended = s.Outcome()
 				packets = append(packets, s.NextRequests(&packet.Message, "n", 7, 1)...)
 			}
@@ -71,7 +71,7 @@
 		answers := v.Step(at(1), "n", &requests[0].Message)
 		requests = nil
 		for i := range answers {
-			s.Take(&answers[i].Message)
+			s.AddAnswer(&answers[i].Message)
 			requests = append(requests, s.NextRequests(&answers[i].Message, "n", 7, 1)...)
 		}
 	}
--- a/internal/proxy/tenure/keeper.go
+++ b/internal/proxy/tenure/keeper.go
@@ -24,7 +24,7 @@
 	// busyInterval is the pause between ticks while this node's voter waits for leases to expire or
 	// recovers its state.
 	busyInterval = 40 * time.Millisecond
-	// eagerDuration is how long after a request needed leases the voters are asked eagerly.
+	// eagerDuration is how long the voters are asked eagerly after a request needed leases.
 	eagerDuration = 100 * time.Millisecond
 	// partialTimeout is how long the nearest voters may disagree on an open tenure before all
 	// voters are asked. They normally learn of it within a few round trips.
@@ -70,7 +70,8 @@
 	Peers func() []Peer
 	// OnViewChanged is called when a service's view changes.
 	OnViewChanged func(service string)
-	// OnVotersReady is called when the records of a majority of voters become complete.
+	// OnVotersReady is called when the node has received the complete records of a majority of
+	// voters.
 	OnVotersReady func()
 	Log           *eventlog.Log
 }
--- a/internal/proxy/tenure/keeper_test.go
+++ b/internal/proxy/tenure/keeper_test.go
@@ -176,7 +176,7 @@
 		time.Sleep(3 * time.Second)
 		must.True(t, n.keepers["k0"].Isolated(time.Now()))
 		must.False(t, n.keepers["k0"].Confirm("s", tenure, time.Now(), time.Now().Add(200*time.Millisecond)))
-		// Once it is reachable again, an answer that came meanwhile is confirmed.
+		// Once it is reachable again, an answer that arrived in between is confirmed.
 		answeredAt := time.Now()
 		n.setSilent("k0", false)
 		must.True(t, n.keepers["k0"].Confirm("s", tenure, answeredAt, time.Now().Add(time.Second)))
@@ -211,7 +211,7 @@
 	})
 }
 
-// TestAllVotersRestart guards against voters that go on without their state after all of them
+// TestAllVotersRestart guards against voters that continue without their state after all of them
 // restarted: a new generation has to start through the store, with higher ballots and no open
 // tenure.
 func TestAllVotersRestart(t *testing.T) {
--- a/internal/proxy/tenure/leases.go
+++ b/internal/proxy/tenure/leases.go
@@ -36,7 +36,8 @@
 	return covered
 }
 
-// AwaitFirstTenure waits until this process first learns a tenure of a service, or until the deadline.
+// AwaitFirstTenure waits until this process first learns a tenure of a service, or until the
+// deadline.
 func (k *Keeper) AwaitFirstTenure(service string, deadline time.Time) {
 	k.waitWhile(func() time.Duration {
 		if view := k.View(service); view != nil && view.Tenure.Ballot > 0 {
@@ -98,8 +99,8 @@
 	return table != nil && k.member.ReachableVoters(now, isolationTimeout) < table.Majority()
 }
 
-// VoterStatus returns the lowest ballot of the table's generation, and whether less than a majority of
-// voters is known to have complete records. Candidates get no majority then.
+// VoterStatus returns the lowest ballot of the table's generation, and whether this node lacks the
+// complete records of a majority of voters. Candidates probably get no majority then.
 func (k *Keeper) VoterStatus() (leastBallot uint64, noMajority bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -109,7 +110,7 @@
 	return leastBallot, !k.hasVoterMajority()
 }
 
-// hasVoterMajority reports whether the records of a majority of voters are known to be complete.
+// hasVoterMajority reports whether this node has the complete records of a majority of voters.
 // k.mu must be held.
 func (k *Keeper) hasVoterMajority() bool {
 	table := k.member.Table()
@@ -128,8 +129,8 @@
 	// Voters is the size of the table. CompleteVoters names the voters whose records are complete.
 	Voters         int      `json:"voters"`
 	CompleteVoters []string `json:"known"`
-	// RTT is the longest smoothed round-trip time to a voter. MissedRequests is the largest number of
-	// consecutive requests that a voter did not answer in time.
+	// RTT is the longest smoothed round-trip time to a voter. MissedRequests is the largest number
+	// of consecutive requests that a voter did not answer in time.
 	RTT            time.Duration `json:"trip"`
 	MissedRequests int           `json:"misses"`
 }
--- a/internal/proxy/tenure/round.go
+++ b/internal/proxy/tenure/round.go
@@ -28,7 +28,8 @@
 	Highest uint64
 	// Records are those of the voters that agreed.
 	Records []quorum.Record
-	// Unconfirmed is the server of an unconfirmed order, which may still be carried out during UnconfirmedFor.
+	// Unconfirmed is the server of an unconfirmed order, which may still be carried out within
+	// UnconfirmedFor.
 	Unconfirmed    string
 	UnconfirmedFor time.Duration
 	// Clear is set if no leases of the previous tenure are left at a majority of voters.
--- a/internal/proxy/tenure/table.go
+++ b/internal/proxy/tenure/table.go
@@ -28,13 +28,13 @@
 	// silenceTimeout is how long a voter may be silent before another node replaces it. It is
 	// longer than a restart or a short network failure.
 	silenceTimeout = 4 * time.Second
-	// deputyTimeout is how long a voter may be silent before the next one maintains the table
-	// instead.
-	deputyTimeout = 1500 * time.Millisecond
+	// maintainerTimeout is how long the voter that maintains the table may be silent before the next
+	// one maintains it instead.
+	maintainerTimeout = 1500 * time.Millisecond
 	// firstAnswerTimeout is the same for voters that have not answered since the table was
 	// installed.
 	firstAnswerTimeout = 600 * time.Millisecond
-	// growInterval is the pause between checks for nodes that would be more or better voters.
+	// growInterval is the pause between checks whether the known nodes allow more or better voters.
 	growInterval = 10 * time.Second
 	// sealTimeout bounds an attempt to seal a generation. sealRetryInterval is the first pause
 	// between requests; it doubles, because more requests would delay the answers on a slow link
@@ -230,7 +230,7 @@
 	if table.VoterEntry(k.cfg.Name) == nil || k.member.Table() != table {
 		return false
 	}
-	silent := k.member.SilentVoters(now, deputyTimeout, firstAnswerTimeout)
+	silent := k.member.SilentVoters(now, maintainerTimeout, firstAnswerTimeout)
 	for _, entry := range table.Entries {
 		if !slices.Contains(silent, entry.Name) {
 			return entry.Name == k.cfg.Name
@@ -245,15 +245,15 @@
 const (
 	noChange changeReason = iota
 	// improvement means that voters are silent or too few, or that one zone or region has a
-	// majority of them. The current voters go on meanwhile.
+	// majority of them. The current voters continue until then.
 	improvement
 	// inoperable means that the current voters can't decide anything any more.
 	inoperable
 )
 
 // neededChange returns whether the table needs a new generation. It does if voters failed or lost
-// their state, if nodes would be more or better voters, or if the store was restored from an older
-// copy. The copy may hold an earlier table, whose voters starting nodes would ask.
+// their state, if the known nodes allow more or better voters, or if the store was restored from an
+// older copy. Starting nodes would ask the voters of an earlier table that the copy may hold.
 func (k *Keeper) neededChange(now time.Time, lastGrowthCheck *time.Time) changeReason {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -261,7 +261,7 @@
 	if table.StoreEra < k.cfg.StoreEra() {
 		return inoperable
 	}
-	lostVoters := k.member.VotersWithoutState(now, deputyTimeout)
+	lostVoters := k.member.VotersWithoutState(now, maintainerTimeout)
 	if k.voter.Recovering() {
 		if k.voter.Age(now) < quorum.StateLossAge {
 			return noChange
@@ -370,7 +370,7 @@
 				// Answer to an earlier attempt.
 				continue
 			}
-			added := sealing.Take(&m)
+			added := sealing.AddAnswer(&m)
 			if records, sealed := sealing.Outcome(); sealed {
 				return records, true
 			}
--- a/internal/proxy/tenure/voters.go
+++ b/internal/proxy/tenure/voters.go
@@ -150,7 +150,7 @@
 }
 
 // distances returns the distance of each voter of a table: 0 in this node's zone, 1 in its region,
-// else 2. It returns nil if no voter's location is known.
+// otherwise 2. It returns nil if no voter's location is known.
 func (k *Keeper) distances(table *quorum.Table) map[string]int {
 	known := k.locations(k.cfg.Peers())
 	var distances map[string]int
