--- a/internal/proxy/remote/host.go
+++ b/internal/proxy/remote/host.go
@@ -56,7 +56,7 @@
 // NewOwner returns an owner of a host's connections.
 func NewOwner(host Host) *Owner { return &Owner{host: host, links: map[*hostLink]struct{}{}} }
 
-// AnnounceLeaving asks all linked nodes to use other owners for new work. Running work goes on.
+// AnnounceLeaving asks all linked nodes to use other owners for new work. Running work continues.
 func (o *Owner) AnnounceLeaving() {
 	o.mu.Lock()
 	o.leaving = true
--- a/internal/proxy/remote/protocol.go
+++ b/internal/proxy/remote/protocol.go
@@ -117,7 +117,7 @@
 
 type empty struct{}
 
-// Errors of requests to an owner. After both, the outcome of the operations is in doubt.
+// Errors of requests to an owner. After either, the outcome of the operations is in doubt.
 var (
 	// ErrLinkLost is returned if the link ended before an answer arrived.
 	ErrLinkLost = errors.New("the link to the node that owns the connections is lost; what was sent is in doubt, use another node")
--- a/internal/proxy/remote/remote_test.go
+++ b/internal/proxy/remote/remote_test.go
@@ -58,9 +58,9 @@
 	return s.pool.Get(principal, deadline)
 }
 
-func (s *fakeServer) Behind(floor position.Position) (position.Position, bool) {
+func (s *fakeServer) Behind(minimum position.Position) (position.Position, bool) {
 	at := position.Position{Term: 1, Offset: 9}
-	return at, s.behind && !at.Covers(floor)
+	return at, s.behind && !at.Covers(minimum)
 }
 
 func (s *fakeServer) Silent() bool { return s.silent }
