--- a/internal/proxy/failover/deputy.go
+++ b/internal/proxy/failover/deputy.go
@@ -8,7 +8,7 @@
 // A deputy acts for a lost lease holder while the store does not answer, so that a primary that
 // fails meanwhile is still replaced. This needs no agreement: the tokens of an epoch are divided
 // into a range for the holder and one for each deputy, each above the one before. A holder that
-// is alive after all is fenced off, and takes a new epoch as soon as it can.
+// is still alive is fenced off, and takes a new epoch as soon as it can.
 const (
 	// MaxDeputies limits the number of deputies in a lease.
 	MaxDeputies = 3
--- a/internal/proxy/failover/machine.go
+++ b/internal/proxy/failover/machine.go
@@ -27,11 +27,10 @@
 	// corroborationTTL is how long other nodes' statements that the primary is down stay valid:
 	// long enough to take over the lease in between.
 	corroborationTTL = 600 * time.Millisecond
-	// contradictedPause is the pause after other nodes have reached a primary
-	// that this node does not reach.
+	// contradictedPause is the pause after other nodes have reached a primary that this node does
+	// not reach.
 	contradictedPause = time.Second
-	// leaderlessDelay is how long a service may be without a known primary
-	// before one is promoted.
+	// leaderlessDelay is how long a service may be without a known primary before one is promoted.
 	leaderlessDelay = 1500 * time.Millisecond
 	// goneDelay is how long a primary that vanished from the directory, but still answers, stays
 	// the primary.
@@ -151,6 +150,8 @@
 	// storeEra is the era of the store for which epoch was chosen.
 	storeEra uint64
 
+	// needSince is the time since which a change has been needed, zero if none is. notBefore is the
+	// earliest time of the next step, settleUntil the end of the wait for an ordered target.
 	needSince   time.Time
 	notBefore   time.Time
 	settleUntil time.Time
--- a/internal/proxy/failover/tenure.go
+++ b/internal/proxy/failover/tenure.go
@@ -206,8 +206,8 @@
 	}
 }
 
-// mustCatchUp reports whether the target of a planned change still has to receive the end of the
-// primary's log and the wait has not timed out.
+// mustCatchUp reports whether the target of a planned change has not received the end of the
+// primary's log yet, and the wait for it has not timed out.
 func (m *Machine) mustCatchUp(target *Report, now time.Time) bool {
 	c := &m.campaign
 	return c.planned && c.steppedDown && target.Received.Less(c.finalPosition) && now.Sub(c.agreedAt) < catchUpTimeout
@@ -371,8 +371,8 @@
 	}
 }
 
-// awaitLead waits for the ordered server to become the primary. A server that claimed the role in
-// a term that does not prove it has to reach a later term.
+// awaitLead waits for the ordered server to become the primary. If the server has claimed the role
+// in a term that does not prove it, only a later term counts.
 func (m *Machine) awaitLead(timeout time.Duration) AwaitLead {
 	least := max(m.minTerm(m.target), m.newestTerm())
 	if report := m.reportOf(m.target); report != nil && report.Primary && !m.claimsPrimaryRole(m.target) {
--- a/internal/proxy/failover/tenure_events.go
+++ b/internal/proxy/failover/tenure_events.go
@@ -81,7 +81,7 @@
 	Ballot  uint64
 	Primary string
 	Term    uint64
-	// Loose is set if an order for the primary was not answered.
+	// Loose is set if an order for the primary may not have been answered.
 	Loose bool
 }
 
--- a/internal/proxy/failover/terms.go
+++ b/internal/proxy/failover/terms.go
@@ -2,8 +2,8 @@
 
 // Checks of the servers' reports against what is known of earlier primaries.
 
-// claimsPrimaryRole reports whether a server claims to be the primary, in a term in which no
-// other server is known to have been, and no server has reported a newer term.
+// claimsPrimaryRole reports whether a server claims to be the primary in the newest reported term,
+// and no other server is known to have been the primary in that term or a later one.
 func (m *Machine) claimsPrimaryRole(id string) bool {
 	report := m.reportOf(id)
 	return report != nil && report.Primary && !report.Lost && report.Term == m.newestTerm() && report.Term >= m.minTerm(id)
@@ -32,7 +32,7 @@
 
 // minTerm returns the lowest term in which a server can be the primary now: the newest known term
 // for the primary of the last tenure, a later one for other servers. If the voters do not
-// remember the last primary, it may be any server that was not ordered.
+// remember the last primary, any server that was not ordered may have been it.
 func (m *Machine) minTerm(id string) uint64 {
 	c := &m.campaign
 	switch {
@@ -46,7 +46,7 @@
 }
 
 // isReplacedPrimary reports whether a server claims to be the primary although another one has
-// been since. Its log has diverged.
+// replaced it. Its log has diverged.
 func (m *Machine) isReplacedPrimary(report *Report) bool {
 	return report.Primary && (report.Term < m.newestTerm() || report.Term < m.minTerm(report.ID))
 }
--- a/internal/proxy/failover/witness.go
+++ b/internal/proxy/failover/witness.go
@@ -5,7 +5,8 @@
 // rankDelayDivisor shortens the rank delay for the check whether the holder is alive.
 const rankDelayDivisor = 4
 
-// nonHolderDelay is how long a node that does not hold the lease leaves a change to the holder.
+// nonHolderDelay returns how long a node that does not hold the lease leaves a change to the
+// holder.
 func (m *Machine) nonHolderDelay() time.Duration {
 	if m.holderAlive || (m.observation.Leader == "" && !(m.usesTenures && m.observation.Closed)) {
 		return takeoverDelay + m.rankDelay
@@ -13,8 +14,8 @@
 	return holderCheckDelay + m.rankDelay/rankDelayDivisor
 }
 
-// indirectPathTrial is the time after a switch to an indirect path in which a primary that still
-// does not answer stays only if a majority reaches it.
+// indirectPathTrial is how long a switch to an indirect path counts as tried. If the primary does
+// not answer in this time, it stays only if a majority of the answering nodes reaches it.
 const indirectPathTrial = 3 * time.Second
 
 // recentlyCorroborated reports whether other nodes have confirmed recently that the primary is
