--- a/internal/base/liveness/liveness.go
+++ b/internal/base/liveness/liveness.go
@@ -16,19 +16,19 @@
 
 const (
 	// An idle connection is probed after probeIdle, then every probeInterval. It fails after
-	// this number of unanswered probes.
+	// maxProbes unanswered probes.
 	probeIdle     = 2 * time.Second
 	probeInterval = time.Second
-	probes        = 2
+	maxProbes     = 2
 	// unackedTimeout bounds the time until sent bytes are acknowledged. It equals the time to
 	// detect an unresponsive peer by probes, which are not sent while bytes are unacknowledged.
-	unackedTimeout = probeIdle + probes*probeInterval
+	unackedTimeout = probeIdle + maxProbes*probeInterval
 	// tcpUserTimeout is the Linux socket option TCP_USER_TIMEOUT, in milliseconds. Package
 	// syscall does not define it.
 	tcpUserTimeout = 0x12
 )
 
-var keepAlive = net.KeepAliveConfig{Enable: true, Idle: probeIdle, Interval: probeInterval, Count: probes}
+var keepAlive = net.KeepAliveConfig{Enable: true, Idle: probeIdle, Interval: probeInterval, Count: maxProbes}
 
 // Dialer returns a dialer for connections that detect an unresponsive peer. With a timeout of 0
 // only the context bounds the dialing.
--- a/internal/base/liveness/liveness_test.go
+++ b/internal/base/liveness/liveness_test.go
@@ -38,6 +38,6 @@
 		must.Eq(t, 1, socketOption(t, conn, syscall.SOL_SOCKET, syscall.SO_KEEPALIVE))
 		must.Eq(t, int(probeIdle.Seconds()), socketOption(t, conn, syscall.IPPROTO_TCP, syscall.TCP_KEEPIDLE))
 		must.Eq(t, int(probeInterval.Seconds()), socketOption(t, conn, syscall.IPPROTO_TCP, syscall.TCP_KEEPINTVL))
-		must.Eq(t, probes, socketOption(t, conn, syscall.IPPROTO_TCP, syscall.TCP_KEEPCNT))
+		must.Eq(t, maxProbes, socketOption(t, conn, syscall.IPPROTO_TCP, syscall.TCP_KEEPCNT))
 	}
 }
--- a/internal/base/position/position.go
+++ b/internal/base/position/position.go
@@ -2,8 +2,8 @@
 //
 // A position identifies an entry of a database group's replicated log by the term in which the
 // entry was written and its offset. Positions are ordered by term, then by offset. The order is
-// meaningful for positions that a majority of the group has received: every later primary's log
-// contains them (docs/DESIGN.md, "Positions").
+// meaningful for positions that a majority of the group has received: by majority intersection,
+// every later primary's log contains them (docs/DESIGN.md, "Positions").
 package position
 
 import (
--- a/internal/base/settings/proxy.go
+++ b/internal/base/settings/proxy.go
@@ -40,8 +40,8 @@
 	QuotaOverage float64  `toml:"quota_overage" validate:"min=0,max=10"`
 	QuotaSlack   float64  `toml:"quota_slack" validate:"min=0,max=1000000"`
 	Tokens       string   `toml:"tokens" validate:"omitempty,hostname_port"`
-	// FirstStart means that the whole fleet starts for the first time, so that no other node can
-	// have a share of the quotas.
+	// FirstStart means that the whole fleet starts for the first time, so that no other node
+	// has had a share of the quotas before.
 	FirstStart bool `toml:"first_start"`
 	// StrictRevocation makes a node reject all requests that need a key after it could not
 	// refresh the valid keys for RevocationBound. Otherwise it uses the last known keys.
--- a/internal/base/settings/settings.go
+++ b/internal/base/settings/settings.go
@@ -67,8 +67,8 @@
 	}
 }
 
-// Load reads a settings file. Missing keys get their defaults; errors for unknown keys and values
-// of the wrong type name the line. Load returns the defaults if the path is empty.
+// Load reads a settings file. Missing keys get their defaults. Unknown keys and values of the
+// wrong type are errors that name the line. Load returns the defaults if the path is empty.
 func Load(path string) (Node, error) {
 	loaded := Defaults()
 	if path == "" {
--- a/internal/base/stall/stall.go
+++ b/internal/base/stall/stall.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// FirstByteTime returns the time of the first byte. It returns the current time if no byte was reported
-// or the context is not one of WithLimit.
+// FirstByteTime returns the time of the first byte. It returns the current time if no byte was
+// reported or the context is not one of WithLimit.
 func FirstByteTime(ctx context.Context) time.Time {
 	if p, limited := ctx.Value(key{}).(*progress); limited {
 		p.mu.Lock()
