--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -133,9 +133,9 @@
 	return listener, errors.Wrapf(err, "listen on %s; check the settings for an address in use", address)
 }
 
-// listenForPeers listens for other nodes, with detection of unresponsive peers because their
-// links may be idle for long. Callers' sessions do without: a node has thousands of them, and
-// each would be probed continuously.
+// listenForPeers listens for other nodes. It detects unresponsive peers, because links between
+// nodes may be idle for long. Callers' connections are not probed: a node has thousands of them,
+// and each would be probed continuously.
 func listenForPeers(ctx context.Context, address string) (net.Listener, error) {
 	listener, err := liveness.Listen(ctx, "tcp4", address)
 	return listener, errors.Wrapf(err, "listen on %s; check the settings for an address in use", address)
