--- a/internal/cli/daemons.go
+++ b/internal/cli/daemons.go
@@ -153,11 +153,11 @@
 	values := url.Values{"kind": {kind}, "on": {fmt.Sprint(on)}, "amount": {amount}}
 	response, err := http.Post("http://"+address+"/fault?"+values.Encode(), "text/plain", nil)
 	if err != nil {
-		return errors.Wrap(err, "call the stand-in platform")
+		return errors.Wrap(err, "call the simulated platform; check its address")
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
-		return errors.Errorf("the stand-in platform rejected the fault: %s", response.Status)
+		return errors.Errorf("the simulated platform rejected the request: %s", response.Status)
 	}
 	return nil
 }
--- a/internal/cli/experiment.go
+++ b/internal/cli/experiment.go
@@ -54,8 +54,8 @@
 	}
 	env.printf("%d real nodes, idle: %.0f B/s of datagrams and %.2f%% of a core each\n\n", result.Nodes, result.BytesPerSecond, result.CorePercent)
 	env.printf("| disturbance | changes | p50 to the last node | max | later than 8 s |\n|---|---|---|---|---|\n")
-	for _, spread := range result.Propagation {
-		env.printf("| %s | %d | %.0f ms | %.0f ms | %d |\n", spread.Disturbance, c.Changes, spread.P50.Seconds()*1000, spread.Max.Seconds()*1000, spread.Late)
+	for _, propagation := range result.Propagation {
+		env.printf("| %s | %d | %.0f ms | %.0f ms | %d |\n", propagation.Disturbance, c.Changes, propagation.P50.Seconds()*1000, propagation.Max.Seconds()*1000, propagation.Late)
 	}
 	return nil
 }
--- a/internal/cli/rounds.go
+++ b/internal/cli/rounds.go
@@ -17,8 +17,8 @@
 	}
 	for _, entry := range entries {
 		env.printf("%s score %.3f", entry.At[0], entry.Score)
-		for _, day := range entry.Runs {
-			env.printf("  %s %.3f", day.Name, day.Value)
+		for _, run := range entry.Runs {
+			env.printf("  %s %.3f", run.Name, run.Value)
 		}
 		env.printf("\n")
 	}
