--- a/internal/architecture/layers_test.go
+++ b/internal/architecture/layers_test.go
@@ -86,8 +86,8 @@
 			if err != nil {
 				return err
 			}
-			if own, ours := strings.CutPrefix(target, module+"/"); ours {
-				found[importer] = append(found[importer], own)
+			if pkg, inModule := strings.CutPrefix(target, module+"/"); inModule {
+				found[importer] = append(found[importer], pkg)
 			}
 		}
 		return nil
