--- a/internal/postgres/backend/batch.go
+++ b/internal/postgres/backend/batch.go
@@ -99,76 +99,76 @@
 	return builder.plan, nil
 }
 
-func (w *planner) add(kind byte, raw []byte) error {
+func (p *planner) add(kind byte, raw []byte) error {
 	body := raw[headerBytes:]
 	switch kind {
 	case typeQuery:
-		w.forward(raw, expectQuery)
+		p.forward(raw, expectQuery)
 	case typeParse:
 		message := pgproto3.Parse{}
 		if err := message.Decode(body); err != nil {
 			return errors.Wrap(err, "decode Parse")
 		}
-		w.parse(message.Name)
+		p.parse(message.Name)
 	case typeBind:
 		message := pgproto3.Bind{}
 		if err := message.Decode(body); err != nil {
 			return errors.Wrap(err, "decode Bind")
 		}
-		w.ensurePrepared(message.PreparedStatement)
-		w.forward(raw, expectBind)
+		p.ensurePrepared(message.PreparedStatement)
+		p.forward(raw, expectBind)
 	case typeDescribe:
 		message := pgproto3.Describe{}
 		if err := message.Decode(body); err != nil {
 			return errors.Wrap(err, "decode Describe")
 		}
 		if message.ObjectType == 'S' {
-			w.ensurePrepared(message.Name)
+			p.ensurePrepared(message.Name)
 		}
-		w.forward(raw, expectDescribe)
+		p.forward(raw, expectDescribe)
 	case typeExecute:
-		w.forward(raw, expectExecute)
+		p.forward(raw, expectExecute)
 	case typeClose:
-		w.close(raw, body)
+		p.close(raw, body)
 	case typeSync:
-		w.forward(raw, expectSync)
+		p.forward(raw, expectSync)
 	case typeFlush:
-		w.plan.out = append(w.plan.out, raw...)
+		p.plan.out = append(p.plan.out, raw...)
 	default:
 		return errors.Errorf("message type %q cannot be part of a batch", kind)
 	}
 	return nil
 }
 
-func (w *planner) forward(raw []byte, expected expectation) {
-	w.plan.out = append(w.plan.out, raw...)
-	w.plan.expected = append(w.plan.expected, expected)
+func (p *planner) forward(raw []byte, expected expectation) {
+	p.plan.out = append(p.plan.out, raw...)
+	p.plan.expected = append(p.plan.expected, expected)
 }
 
-func (w *planner) isPrepared(name string) bool {
-	_, before := w.prepared[name]
-	_, now := w.planned[name]
+func (p *planner) isPrepared(name string) bool {
+	_, before := p.prepared[name]
+	_, now := p.planned[name]
 	return before || now
 }
 
 // parse prepares a statement unless it is already prepared on the connection.
-func (w *planner) parse(name string) {
-	if w.isPrepared(name) {
-		w.plan.expected = append(w.plan.expected, localParseComplete)
+func (p *planner) parse(name string) {
+	if p.isPrepared(name) {
+		p.plan.expected = append(p.plan.expected, localParseComplete)
 		return
 	}
-	w.prepare(name, expectParse)
+	p.prepare(name, expectParse)
 }
 
 // ensurePrepared prepares a statement that an earlier batch prepared on another connection.
-func (w *planner) ensurePrepared(name string) {
-	if !w.isPrepared(name) {
-		w.prepare(name, expectSilentParse)
+func (p *planner) ensurePrepared(name string) {
+	if !p.isPrepared(name) {
+		p.prepare(name, expectSilentParse)
 	}
 }
 
-func (w *planner) prepare(name string, expected expectation) {
-	statement, defined := w.statements[name]
+func (p *planner) prepare(name string, expected expectation) {
+	statement, defined := p.statements[name]
 	if !defined {
 		return // the server will answer that the statement does not exist
 	}
@@ -177,17 +177,17 @@
 	if err != nil {
 		return
 	}
-	w.planned[name] = struct{}{}
-	w.plan.parses = append(w.plan.parses, name)
-	w.forward(encoded, expected)
+	p.planned[name] = struct{}{}
+	p.plan.parses = append(p.plan.parses, name)
+	p.forward(encoded, expected)
 }
 
 // close forwards the closing of portals. Statements stay prepared on the connection, because
 // other callers use them.
-func (w *planner) close(raw, body []byte) {
+func (p *planner) close(raw, body []byte) {
 	if len(body) > 0 && body[0] == 'S' {
-		w.plan.expected = append(w.plan.expected, localCloseComplete)
+		p.plan.expected = append(p.plan.expected, localCloseComplete)
 		return
 	}
-	w.forward(raw, expectClose)
+	p.forward(raw, expectClose)
 }
--- a/internal/postgres/forward/decide_test.go
+++ b/internal/postgres/forward/decide_test.go
@@ -36,7 +36,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		attempt := Attempt{
 			Ending: LinkLost, MayCommit: true, InTransaction: rapid.Bool().Draw(t, "in transaction"),
-			PartDelivered: rapid.Bool().Draw(t, "passed on"), Tries: rapid.IntRange(0, 10).Draw(t, "tries"),
+			PartDelivered: rapid.Bool().Draw(t, "part delivered"), Tries: rapid.IntRange(0, 10).Draw(t, "tries"),
 		}
 		decision := Decide(attempt)
 		must.False(t, decision.Retry)
--- a/internal/postgres/group/machine.go
+++ b/internal/postgres/group/machine.go
@@ -435,8 +435,8 @@
 	m.reply(target, reply)
 }
 
-// retryRun queues a request again that is safe to run again, or rejects it if it is
-// canceled, late, in a transaction or out of attempts.
+// retryRun queues a request that is safe to run again. It rejects the request if it is canceled,
+// past its deadline, in a transaction or out of attempts.
 func (m *Machine) retryRun(target *pending) {
 	switch {
 	case target.canceled:
@@ -451,7 +451,7 @@
 	}
 }
 
-// moveToPrimary moves a statement that a read-only server refused to the primary.
+// moveToPrimary moves a statement that a read-only server rejected to the primary.
 func (m *Machine) moveToPrimary(target *pending) {
 	if target.pinned || target.primaryOnly {
 		m.reject(target, failure.TransactionLost)
--- a/internal/postgres/group/types.go
+++ b/internal/postgres/group/types.go
@@ -65,9 +65,9 @@
 const (
 	// Completed: the complete answer, success or SQL error, has arrived.
 	Completed RunOutcome = iota
-	// NotStarted: no byte reached the server, or the server refused before running.
+	// NotStarted: no byte reached the server, or the server rejected the request before running it.
 	NotStarted
-	// MustWrite: a read-only server refused a statement that writes; it was not run.
+	// MustWrite: a read-only server rejected a statement that writes; it was not run.
 	MustWrite
 	// Lost: the connection ended after the request was sent and before any part
 	// of the answer was passed on.
--- a/internal/postgres/listener/session.go
+++ b/internal/postgres/listener/session.go
@@ -399,7 +399,7 @@
 }
 
 // cancelCurrent cancels the request in progress. A request that is not pinned may be at
-// the owner or at the stand-by, so both get the cancel request.
+// the owner or at the standby, so both get the cancel request.
 func (s *session) cancelCurrent() {
 	s.mu.Lock()
 	current, currentOwner := s.current, s.currentOwner
--- a/internal/postgres/node/node.go
+++ b/internal/postgres/node/node.go
@@ -1,5 +1,5 @@
 // Package node runs a dewknot node. It passes events of the network, the platform and
-// the callers to the node's reducers and executes the effects that they return.
+// the callers to the node's state machines and executes the effects that they return.
 package node
 
 import (
@@ -156,7 +156,7 @@
 
 func (n *Node) now() time.Duration { return time.Since(n.started) }
 
-// step applies an event to the control reducer and executes the returned effects.
+// step applies an event to the control state machine and executes the returned effects.
 func (n *Node) step(event core.Event) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/postgres/objectapi/api.go
+++ b/internal/postgres/objectapi/api.go
@@ -76,7 +76,7 @@
 	case AnswerLost:
 		return "the answer was lost: the change may have taken effect; read back by operation id before sending it again: " + e.Message
 	case Rejected:
-		return "the store refused the request: " + e.Message
+		return "the store rejected the request: " + e.Message
 	default:
 		return "the store cannot be reached; try again later: " + e.Message
 	}
--- a/internal/postgres/owner/groups.go
+++ b/internal/postgres/owner/groups.go
@@ -16,7 +16,7 @@
 	"dewknot/internal/postgres/request"
 )
 
-// Counters count the requests answered by this node as owner or stand-by, for metrics.
+// Counters count the requests answered by this node as owner or standby, for metrics.
 type Counters struct {
 	// ReadsByReplica and ReadsByPrimary count answered reads.
 	ReadsByReplica atomic.Uint64
@@ -53,10 +53,10 @@
 // with its open transactions.
 const drainTimeout = 30 * time.Second
 
-// standbyIdleTimeout is the time without requests after which a stand-by closes a group.
+// standbyIdleTimeout is the time without requests after which a standby closes a group.
 const standbyIdleTimeout = 60 * time.Second
 
-// servedGroup is a group that this node serves as owner or stand-by, or that drains.
+// servedGroup is a group that this node serves as owner or standby, or that drains.
 type servedGroup struct {
 	server *Server
 	// config is the configuration with which server was created.
@@ -145,11 +145,11 @@
 func (s *servedGroup) touch() { s.lastUsed.Store(time.Now().Unix()) }
 
 // limits returns settings with this node's share of a server's limits, which are divided
-// between owner and stand-by. If two nodes have different views, both may act as the owner
+// between owner and standby. If two nodes have different views, both may act as the owner
 // for a while; then only the server's own limit applies.
 func (g *Groups) limits(config *configuration.Group, asOwner bool) group.Settings {
 	const (
-		statusConnections = 2 // one each for owner and stand-by
+		statusConnections = 2 // one each for owner and standby
 		standbyDivisor    = 5
 	)
 	settings := g.settings
@@ -221,7 +221,7 @@
 	}
 }
 
-// findOrAdd returns a served group. It adds the group if this node is its owner or stand-by,
+// findOrAdd returns a served group. It adds the group if this node is its owner or standby,
 // and returns nil otherwise.
 func (g *Groups) findOrAdd(name string) *servedGroup {
 	g.mu.RLock()
--- a/internal/postgres/owner/server.go
+++ b/internal/postgres/owner/server.go
@@ -1,4 +1,4 @@
-// Package owner serves database groups on their owner and stand-by nodes. It applies the
+// Package owner serves database groups on their owner and standby nodes. It applies the
 // effects of each group's machine: it runs requests on pooled connections and polls the
 // status of the database servers.
 package owner
--- a/internal/postgres/peer/client.go
+++ b/internal/postgres/peer/client.go
@@ -83,7 +83,7 @@
 }
 
 // connect returns the open link or dials one. A peer that is known to be down is dialed in
-// the background, so that requests don't wait for it and the listener can use the stand-by
+// the background, so that requests don't wait for it and the listener can use the standby
 // owner without delay.
 func (c *Client) connect() (*clientLink, error) {
 	c.mu.Lock()
--- a/internal/postgres/statement/classify.go
+++ b/internal/postgres/statement/classify.go
@@ -36,7 +36,8 @@
 	MayCommit bool
 	// Empty is true if the text has no statement.
 	Empty bool
-	// Unsupported names a feature of the text that pooled connections cannot support; empty if none.
+	// Unsupported names a feature of the text that pooled connections cannot support. It is empty
+	// if there is none.
 	Unsupported string
 	// Kind is the request kind named in a comment, as in /*kind='seat_booking'*/.
 	Kind string
@@ -150,7 +151,7 @@
 	}
 }
 
-// isReadOnlyBegin recognises BEGIN READ ONLY, which a replica can run.
+// isReadOnlyBegin recognizes BEGIN READ ONLY, which a replica can run.
 func isReadOnlyBegin(tokens []token, control Control) bool {
 	return control == Begin && containsWord(tokens, "ONLY") && !containsWord(tokens, "WRITE")
 }
@@ -185,7 +186,7 @@
 	return true
 }
 
-// isTableAlias recognises "WITH [RECURSIVE] name (columns)", where name isn't a function.
+// isTableAlias recognizes "WITH [RECURSIVE] name (columns)", where name isn't a function.
 func isTableAlias(tokens []token, index int) bool {
 	if index == 0 {
 		return false
@@ -257,7 +258,7 @@
 	return ""
 }
 
-// dewknotParameter recognises SET dewknot.x = 'v', SET dewknot.x TO v and SHOW dewknot.x.
+// dewknotParameter recognizes SET dewknot.x = 'v', SET dewknot.x TO v and SHOW dewknot.x.
 // It returns nil for other statements.
 func dewknotParameter(sql string) *Parameter {
 	text := strings.TrimSpace(strings.TrimSuffix(strings.TrimSpace(sql), ";"))
