--- a/internal/lab/benchmark/nodes.go
+++ b/internal/lab/benchmark/nodes.go
@@ -37,9 +37,9 @@
 	propagationTimeout = 8 * time.Second
 )
 
-// Nodes runs real nodes in one process. It measures them while idle, and how long changes take to be
-// in force everywhere, first with the store up and then with the store down from the time at which
-// it accepts a change.
+// Nodes runs real nodes in one process. It measures them while idle, and how long changes take to
+// be in force everywhere, first with the store up and then with the store down from the time at
+// which it accepts a change.
 func Nodes(ctx context.Context, count, changes int) (*NodesResult, error) {
 	running, err := fleet.Start(fleet.Settings{
 		Nodes: count, Zones: []string{"a", "b", "c", "d", "e"}, Log: zap.NewNop(), Groups: []database.Settings{fleet.DefaultDatabase("bookings")},
@@ -57,12 +57,12 @@
 		if storeDown {
 			name = "store down after the acceptance"
 		}
-		spread, err := measureChanges(ctx, running, changes, storeDown, &number)
+		propagation, err := measureChanges(ctx, running, changes, storeDown, &number)
 		if err != nil {
 			return nil, err
 		}
-		spread.Disturbance = name
-		result.Propagation = append(result.Propagation, spread)
+		propagation.Disturbance = name
+		result.Propagation = append(result.Propagation, propagation)
 	}
 	return result, nil
 }
@@ -82,36 +82,36 @@
 }
 
 func measureChanges(ctx context.Context, running *fleet.Fleet, changes int, storeDown bool, number *int) (PropagationResult, error) {
-	spread := PropagationResult{}
+	result := PropagationResult{}
 	var times []time.Duration
 	for range changes {
 		*number++
 		node := running.Nodes[*number*7%len(running.Nodes)]
 		_, replaced, err := node.ActivePolicy("bookings")
 		if err != nil {
-			return spread, err
+			return result, err
 		}
 		source := fmt.Appendf(nil, "service(\"bookings\")\ndefault(wait = \"%dms\")\n", *number+1)
 		change := administration.Change{Operation: fmt.Sprint("change", *number), Author: "bench", Replaces: replaced}
 		outcome, err := node.Administration().SubmitPolicy(ctx, "bookings", source, change)
 		if err != nil {
-			return spread, err
+			return result, err
 		}
 		accepted := time.Now()
 		running.Store.SetDown(storeDown)
 		err = fleet.Wait(propagationTimeout, func() bool { return inForceOnAll(running, outcome.Version) })
 		running.Store.SetDown(false)
 		if err != nil {
-			spread.Late++
+			result.Late++
 			continue
 		}
 		times = append(times, time.Since(accepted))
 	}
 	slices.Sort(times)
 	if len(times) > 0 {
-		spread.P50, spread.Max = times[len(times)/2], times[len(times)-1]
+		result.P50, result.Max = times[len(times)/2], times[len(times)-1]
 	}
-	return spread, nil
+	return result, nil
 }
 
 func inForceOnAll(running *fleet.Fleet, version uint64) bool {
--- a/internal/lab/benchmark/path.go
+++ b/internal/lab/benchmark/path.go
@@ -123,8 +123,8 @@
 	return times, nil
 }
 
-// Paths starts a deployment and returns the direct path to a replica, the path through the owner and
-// the path through a node that forwards to the owner.
+// Paths starts a deployment and returns the direct path to a replica, the path through the owner
+// and the path through a node that forwards to the owner.
 func Paths(ctx context.Context) (paths []Path, closeAll func(), err error) {
 	running, err := startFleet(1, nil)
 	if err != nil {
--- a/internal/lab/demo/demo.go
+++ b/internal/lab/demo/demo.go
@@ -51,7 +51,7 @@
 	electionDelay = time.Second
 	// thinkTime is the mean pause between requests of a session.
 	thinkTime = 40 * time.Millisecond
-	// requestTimeout is when a caller gives up on a request.
+	// requestTimeout is the time after which a caller gives up on a request.
 	requestTimeout = 8 * time.Second
 )
 
--- a/internal/lab/explain/explain.go
+++ b/internal/lab/explain/explain.go
@@ -29,8 +29,8 @@
 	Node   string
 	Event  eventlog.Event
 	Fields map[string]json.RawMessage
-	// index is the number of the line in the order of reading, adjusted its time, which is not
-	// before that of the node's previous line.
+	// index is the line's number in the order of reading. adjusted is its time, or the adjusted
+	// time of the node's previous line if that is later.
 	index    int
 	adjusted time.Time
 }
--- a/internal/lab/fleet/callers_test.go
+++ b/internal/lab/fleet/callers_test.go
@@ -105,8 +105,8 @@
 	must.Eq(t, int64(99), returned)
 }
 
-// Statements that don't work with pooling must be rejected with a hint, and the connection must stay
-// usable.
+// Statements that don't work with pooling must be rejected with a hint, and the connection must
+// stay usable.
 func TestUnsupportedStatementsAreRejected(t *testing.T) {
 	f := start(t, nil)
 	ctx := context.Background()
--- a/internal/lab/judge/quota.go
+++ b/internal/lab/judge/quota.go
@@ -11,8 +11,8 @@
 	ran   time.Time
 }
 
-// Allowance limits a tenant's operations to Most in every window of length Span that starts at
-// From or later.
+// Allowance limits a tenant's operations to MaxOperations in every window of length Period that
+// starts at From or later.
 type Allowance struct {
 	Tenant        string
 	Period        time.Duration
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -77,7 +77,7 @@
 	Duration time.Duration
 	Seed     uint64
 	Password string
-	// Timeout is when a caller gives up on a request.
+	// Timeout is the time after which a caller gives up on a request.
 	Timeout time.Duration
 	// Started is the time to which recorded times are relative. Concurrent workloads share it.
 	Started time.Time
--- a/internal/lab/loopback/loopback.go
+++ b/internal/lab/loopback/loopback.go
@@ -1,5 +1,5 @@
-// Package loopback allocates loopback addresses for processes and tests that need a fixed address to
-// listen on.
+// Package loopback allocates loopback addresses for processes and tests that need a fixed address
+// to listen on.
 package loopback
 
 import (
@@ -11,8 +11,8 @@
 	"github.com/pkg/errors"
 )
 
-// host is a loopback address that only this process uses. On a shared address, another process or an
-// outgoing connection could take a free port before the caller listens on it.
+// host is a loopback address that only this process uses. On a shared address, another process or
+// an outgoing connection could take a free port before the caller listens on it.
 var host = fmt.Sprintf("127.%d.%d.%d", 2+os.Getpid()>>16&0x7f, os.Getpid()>>8&0xff, 1+os.Getpid()&0x7f)
 
 // allocated holds the allocated addresses.
--- a/internal/lab/rounds/rounds.go
+++ b/internal/lab/rounds/rounds.go
@@ -1,5 +1,5 @@
-// Package rounds reads scored rounds of simulated runs from journal entries and plots how the scores
-// of a deployment changed.
+// Package rounds reads scored rounds of simulated runs from journal entries and plots how the
+// scores of a deployment changed.
 package rounds
 
 import (
@@ -28,7 +28,7 @@
 type Run struct {
 	Name  string  `json:"name"`
 	Value float64 `json:"G"`
-	// Baseline is the Worth for which the score is 0.
+	// Baseline is the Value for which the score is 0.
 	Baseline float64 `json:"naive"`
 }
 
--- a/internal/lab/sim/client.go
+++ b/internal/lab/sim/client.go
@@ -23,14 +23,14 @@
 	// Think is the mean think time of a caller between operations.
 	Think time.Duration
 	Mix   Mix
-	// Between SurgeFrom and SurgeTo, think times are divided by Surge.
+	// Between SurgeFrom and SurgeTo, think times are divided by SurgeFactor.
 	SurgeFrom, SurgeTo time.Duration
 	SurgeFactor        int
 	// CarryShare is the share of callers that send the position of their last answer with each
 	// request.
 	CarryShare float64
 	// Resellers is the number of clients that belong to the caller "reseller". Their think
-	// time is divided by Greed.
+	// time is divided by ResellerFactor.
 	Resellers      int
 	ResellerFactor int
 }
--- a/internal/lab/sim/faults.go
+++ b/internal/lab/sim/faults.go
@@ -81,11 +81,11 @@
 	case CutZone:
 		w.cutZone(fault)
 	case CutRegions:
-		w.network.cutRegions = true
+		w.network.regionsIsolated = true
 		w.endAllPresences()
 		w.recordCut(fault)
 		w.After(fault.For, func() {
-			w.network.cutRegions = false
+			w.network.regionsIsolated = false
 			w.beginAllPresences()
 		})
 	case StoreDown:
@@ -150,9 +150,9 @@
 
 func (w *World) cutNode(fault Fault, target *node) {
 	target.endPresence()
-	w.network.cutProcesses[target.location.id] = true
+	w.network.isolatedProcesses[target.location.id] = true
 	w.After(fault.For, func() {
-		delete(w.network.cutProcesses, target.location.id)
+		delete(w.network.isolatedProcesses, target.location.id)
 		target.beginPresence()
 	})
 }
@@ -160,8 +160,8 @@
 // cutZone isolates a zone's nodes and servers from all other zones.
 func (w *World) cutZone(fault Fault) {
 	zone := w.zone(fault.Target).Name
-	w.network.cutZones[zone] = true
-	cut := func(on bool) {
+	w.network.isolatedZones[zone] = true
+	setIsolated := func(on bool) {
 		for _, current := range w.groups {
 			for index, server := range current.servers {
 				if server.location.zone.Name == zone {
@@ -170,12 +170,12 @@
 			}
 		}
 	}
-	cut(true)
+	setIsolated(true)
 	w.endAllPresences()
 	w.recordCut(fault)
 	w.After(fault.For, func() {
-		delete(w.network.cutZones, zone)
-		cut(false)
+		delete(w.network.isolatedZones, zone)
+		setIsolated(false)
 		w.beginAllPresences()
 	})
 }
--- a/internal/lab/sim/listener.go
+++ b/internal/lab/sim/listener.go
@@ -14,15 +14,15 @@
 
 // callerConn is a caller's connection to a node.
 type callerConn struct {
-	node    *node
-	run     int
-	session group.SessionID
-	number  uint64
-	status  byte
-	owner   string            // node that holds the open transaction; empty without one
-	visited map[string]string // group last requested of each owner
-	busy    bool
-	closed  bool
+	node     *node
+	run      int
+	session  group.SessionID
+	number   uint64
+	status   byte
+	owner    string            // node that holds the open transaction; empty without one
+	servedBy map[string]string // group last served by each owner
+	busy     bool
+	closed   bool
 	// onLost is called when the node closes the connection during a request.
 	onLost func(byStop bool)
 }
@@ -67,7 +67,7 @@
 	epoch := uint64(n.run)<<16 | uint64(n.index+1)
 	conn := &callerConn{
 		node: n, run: n.run, session: group.SessionID{Listener: epoch, Session: n.sessions},
-		status: backend.Idle, visited: map[string]string{},
+		status: backend.Idle, servedBy: map[string]string{},
 	}
 	n.callers[conn] = true
 	return conn
@@ -80,8 +80,8 @@
 	}
 	conn.closed = true
 	delete(n.callers, conn)
-	for _, owner := range sortedKeys(conn.visited) {
-		n.notifySessionEnd(owner, conn.visited[owner], conn.session)
+	for _, owner := range sortedKeys(conn.servedBy) {
+		n.notifySessionEnd(owner, conn.servedBy[owner], conn.session)
 	}
 }
 
@@ -403,7 +403,7 @@
 		return
 	}
 	conn := request.conn
-	conn.visited[request.target] = request.incoming.group
+	conn.servedBy[request.target] = request.incoming.group
 	if reply.kind == failure.None {
 		conn.status = reply.answer.status
 	} else if request.request.InTransaction {
@@ -417,8 +417,8 @@
 	n.answer(request, callerReply(reply))
 }
 
-// retryPause is the pause before an attempt once every owner has been tried.
-const retryPause = 50 * time.Millisecond
+// retryDelay is the delay before an attempt once every owner has been tried.
+const retryDelay = 50 * time.Millisecond
 
 // handleFailure retries a failed attempt or answers with the failure. It decides with
 // forward.Decide, as the real listener does.
@@ -439,7 +439,7 @@
 	request.request.ID.Number = request.conn.number
 	pause := time.Duration(0)
 	if request.attempt.Tries >= core.OwnerCount {
-		pause = retryPause
+		pause = retryDelay
 	}
 	n.after(pause, func() {
 		if n.pending[request.stream] == request {
--- a/internal/lab/sim/network.go
+++ b/internal/lab/sim/network.go
@@ -11,22 +11,22 @@
 // network simulates delays, losses and partitions.
 type network struct {
 	world *World
-	// cutZones holds the names of zones that are isolated from other zones.
-	cutZones map[string]bool
-	// cutRegions is set while regions cannot reach each other.
-	cutRegions bool
-	// cutProcesses holds the IDs of processes that cannot reach any other process.
-	cutProcesses map[string]bool
+	// isolatedZones holds the names of the zones that are isolated from other zones.
+	isolatedZones map[string]bool
+	// regionsIsolated is true while regions cannot reach each other.
+	regionsIsolated bool
+	// isolatedProcesses holds the IDs of processes that cannot reach any other process.
+	isolatedProcesses map[string]bool
 }
 
 func newNetwork(world *World) *network {
-	return &network{world: world, cutZones: map[string]bool{}, cutProcesses: map[string]bool{}}
+	return &network{world: world, isolatedZones: map[string]bool{}, isolatedProcesses: map[string]bool{}}
 }
 
 func (n *network) heal() {
-	n.cutZones = map[string]bool{}
-	n.cutProcesses = map[string]bool{}
-	n.cutRegions = false
+	n.isolatedZones = map[string]bool{}
+	n.isolatedProcesses = map[string]bool{}
+	n.regionsIsolated = false
 }
 
 func (n *network) reachable(from, to location) bool {
@@ -34,11 +34,11 @@
 		return true
 	}
 	switch {
-	case n.cutProcesses[from.id] || n.cutProcesses[to.id]:
+	case n.isolatedProcesses[from.id] || n.isolatedProcesses[to.id]:
 		return false
-	case from.zone.Name != to.zone.Name && (n.cutZones[from.zone.Name] || n.cutZones[to.zone.Name]):
+	case from.zone.Name != to.zone.Name && (n.isolatedZones[from.zone.Name] || n.isolatedZones[to.zone.Name]):
 		return false
-	case from.zone.Region != to.zone.Region && n.cutRegions:
+	case from.zone.Region != to.zone.Region && n.regionsIsolated:
 		return false
 	}
 	return true
--- a/internal/lab/sim/node.go
+++ b/internal/lab/sim/node.go
@@ -13,7 +13,7 @@
 	"dewknot/internal/postgres/objectapi"
 )
 
-// node is a simulated node. It runs the same reducers as a real node.
+// node is a simulated node. It runs the same state machines as a real node.
 type node struct {
 	world    *World
 	index    int
@@ -113,7 +113,7 @@
 	n.maintain()
 }
 
-// step applies an event to the control reducer, performs the effects and schedules the next
+// step applies an event to the control state machine, performs the effects and schedules the next
 // wake-up.
 func (n *node) step(event core.Event) {
 	for _, effect := range n.control.Step(n.clock(), event) {
@@ -225,13 +225,13 @@
 		}
 		n.after(storeDelay, func() {
 			n.step(core.StoreListing{
-				Since: since, Objects: objects, Complete: complete, AskedAt: requestedAt,
+				Since: since, Objects: objects, Complete: complete, RequestedAt: requestedAt,
 			})
 		})
 	})
 }
 
-func (n *node) canReachStore() bool { return !n.world.network.cutProcesses[n.location.id] }
+func (n *node) canReachStore() bool { return !n.world.network.isolatedProcesses[n.location.id] }
 
 // watchInterval is the interval at which a node that watches the store polls it.
 const watchInterval = 250 * time.Millisecond
--- a/internal/lab/sim/store.go
+++ b/internal/lab/sim/store.go
@@ -10,7 +10,8 @@
 	"dewknot/internal/postgres/objectapi"
 )
 
-// objectStore is the platform's object store: the stand-in store without its HTTP interface.
+// objectStore is the platform's object store: the simulated store of package standin/objectapi
+// without its HTTP interface.
 type objectStore struct {
 	world *World
 	inner *store.Store
--- a/internal/lab/sim/world.go
+++ b/internal/lab/sim/world.go
@@ -1,5 +1,5 @@
 // Package sim simulates a whole fleet in one process on virtual time: the nodes with their
-// real reducers, database servers that replicate by the model of package replication, an
+// real state machines, database servers that replicate by the model of package replication, an
 // object store, callers and a network with faults.
 //
 // Everything runs in one goroutine, in the order of an event queue, and all randomness comes
--- a/internal/lab/standin/database/group.go
+++ b/internal/lab/standin/database/group.go
@@ -188,7 +188,7 @@
 	}
 }
 
-// must panics if replication within the stand-in fails, because a divergent replica would
+// must panics if replication within the simulated group fails, because a divergent replica would
 // invalidate all later checks.
 func must(err error) {
 	if err != nil {
--- a/internal/lab/standin/database/session.go
+++ b/internal/lab/standin/database/session.go
@@ -64,7 +64,7 @@
 	sql     *sql.Conn
 	ctx     context.Context
 	cancel  context.CancelFunc
-	// cancelByKey cancels the running statement, if any.
+	// cancelStatement cancels the running statement. It is nil if none runs.
 	cancelStatement     atomic.Pointer[context.CancelFunc]
 	cancelKey           uint32
 	status              byte
--- a/internal/lab/standin/managed/faults.go
+++ b/internal/lab/standin/managed/faults.go
@@ -55,55 +55,55 @@
 
 // Inject injects a fault and blocks until it has ended. All faults but AnswersLost last for
 // duration.
-func (v *FaultTargets) Inject(trouble Fault, random *rand.Rand, duration time.Duration) {
-	switch trouble {
+func (t *FaultTargets) Inject(fault Fault, random *rand.Rand, duration time.Duration) {
+	switch fault {
 	case PrimaryCrash:
-		crashed := v.Group.Primary()
+		crashed := t.Group.Primary()
 		crashed.Crash()
 		time.Sleep(duration)
 		crashed.Restart()
 	case PrimaryUnreachable:
-		primary := v.Group.Primary()
+		primary := t.Group.Primary()
 		during(duration, func(on bool) { primary.SetReachable(!on) })
 	case ReplicaNotReceiving:
-		during(duration, v.anyServer(random).SetReceiveBlocked)
+		during(duration, t.anyServer(random).SetReceiveBlocked)
 	case ReplicaLagging:
-		late := v.anyServer(random)
-		late.SetApplyDelay(randomDelay(random, maxApplyDelayMs))
+		lagging := t.anyServer(random)
+		lagging.SetApplyDelay(randomDelay(random, maxApplyDelayMs))
 		time.Sleep(duration)
-		late.SetApplyDelay(v.Group.settings.ApplyDelay)
+		lagging.SetApplyDelay(t.Group.settings.ApplyDelay)
 	case AnswersLost:
-		v.Group.Primary().LoseAnswers(1 + random.IntN(maxLostAnswers))
-		v.anyServer(random).LoseAnswers(1 + random.IntN(maxLostAnswers))
+		t.Group.Primary().LoseAnswers(1 + random.IntN(maxLostAnswers))
+		t.anyServer(random).LoseAnswers(1 + random.IntN(maxLostAnswers))
 	case StoreDown:
-		during(duration, v.Store.SetDown)
+		during(duration, t.Store.SetDown)
 	case StoreSlow:
-		v.Store.SetDelay(randomDelay(random, maxStoreDelayMs))
+		t.Store.SetDelay(randomDelay(random, maxStoreDelayMs))
 		time.Sleep(duration)
-		v.Store.SetDelay(storeLatency)
+		t.Store.SetDelay(storeLatency)
 	case PrimaryNotReplicating:
-		during(duration, v.Group.Primary().SetSendBlocked)
+		during(duration, t.Group.Primary().SetSendBlocked)
 	case PromotionsDelayed:
-		v.Promoter.SetOrderDelay(duration)
+		t.Promoter.SetOrderDelay(duration)
 		time.Sleep(duration)
-		v.Promoter.SetOrderDelay(0)
+		t.Promoter.SetOrderDelay(0)
 	case ServerSlow:
-		slow := v.anyServer(random)
+		slow := t.anyServer(random)
 		slow.SetSlowdown(2 + random.IntN(maxSlowdown-1))
 		time.Sleep(duration)
 		slow.SetSlowdown(1)
 	case ServerDegraded:
-		degraded := v.anyServer(random)
+		degraded := t.anyServer(random)
 		degraded.FailOneOf(1 + random.IntN(maxFailOneOf))
 		time.Sleep(duration)
 		degraded.FailOneOf(0)
 	case ServerFlapping:
-		v.flap(v.anyServer(random), duration)
+		t.flap(t.anyServer(random), duration)
 	}
 }
 
 // flap repeatedly ends and restarts a server.
-func (v *FaultTargets) flap(flapping *Server, duration time.Duration) {
+func (t *FaultTargets) flap(flapping *Server, duration time.Duration) {
 	for end := time.Now().Add(duration); time.Now().Before(end); {
 		flapping.Crash()
 		time.Sleep(flapInterval)
@@ -112,8 +112,8 @@
 	}
 }
 
-func (v *FaultTargets) anyServer(random *rand.Rand) *Server {
-	return v.Group.Server(random.IntN(len(v.Group.settings.Zones)))
+func (t *FaultTargets) anyServer(random *rand.Rand) *Server {
+	return t.Group.Server(random.IntN(len(t.Group.settings.Zones)))
 }
 
 // during calls set with true and, after a duration, with false.
--- a/internal/lab/standin/managed/managed.go
+++ b/internal/lab/standin/managed/managed.go
@@ -38,8 +38,8 @@
 	WritesCommitted(requestIDs []string, at position.Position)
 	// RolledBack reports that a promotion removed a commit.
 	RolledBack(at position.Position)
-	// CommittedOnReplaced reports that a replaced primary that is still running as one committed the
-	// writes of some requests. These writes aren't part of the service.
+	// CommittedOnReplaced reports that a replaced primary that is still running as one committed
+	// the writes of some requests. These writes aren't part of the service.
 	CommittedOnReplaced(requestIDs []string)
 }
 
@@ -112,7 +112,7 @@
 	Draining bool
 	Primary  bool
 	Gone     bool
-	// Incarnation identifies the incarnation of the server: its start time in milliseconds since 1970.
+	// Incarnation is the server's start time in milliseconds since 1970.
 	Incarnation int64 `json:"Born"`
 }
 
--- a/internal/lab/standin/managed/server.go
+++ b/internal/lab/standin/managed/server.go
@@ -33,8 +33,7 @@
 	// loseAnswers is how many of the next answers are lost after the operation ran.
 	loseAnswers int
 	// slowdown multiplies the duration of statements. One of failOneOf statements fails, none
-	// if it is 0. failCounter counts the statements
-	// since the start.
+	// if it is 0. failCounter counts the statements while failOneOf is set.
 	slowdown    int
 	failOneOf   int
 	failCounter int
@@ -168,8 +167,8 @@
 	return s.failCounter%s.failOneOf == 0
 }
 
-// work returns the duration of a statement.
-func (s *Server) work() time.Duration {
+// statementTime returns the duration of a statement.
+func (s *Server) statementTime() time.Duration {
 	defer s.lock()()
 	return time.Duration(max(1, s.slowdown)) * s.group.settings.StatementTime
 }
@@ -187,7 +186,7 @@
 	s.group.announce(s)
 }
 
-// Leave ends a drained server. It doesn't return.
+// Leave ends a drained server permanently.
 func (s *Server) Leave() {
 	defer s.lock()()
 	s.up = false
--- a/internal/lab/standin/managed/session.go
+++ b/internal/lab/standin/managed/session.go
@@ -203,7 +203,7 @@
 		if !s.takeSlot() {
 			return s.refuseBusy(), false
 		}
-		time.Sleep(s.server.work())
+		time.Sleep(s.server.statementTime())
 		defer s.releaseSlot()
 	}
 	defer s.server.lock()()
--- a/internal/lab/standin/managed/store.go
+++ b/internal/lab/standin/managed/store.go
@@ -32,7 +32,7 @@
 // Store is a durable store of objects.
 type Store struct {
 	mutex sync.Mutex
-	// era rises each time the store is restored from a copy. Objects are kept with revision
+	// era increases each time the store is restored from a copy. Objects are kept with revision
 	// numbers only; the current era is added in answers.
 	era      uint64
 	revision uint64
@@ -46,7 +46,7 @@
 	down           bool
 	delay          time.Duration
 	loseAnswers    int
-	cut            map[string]bool
+	isolated       map[string]bool
 	createAttempts map[string]int
 	watches        int
 }
@@ -105,7 +105,7 @@
 func NewStore() *Store {
 	return &Store{
 		objects: map[string]map[string]objectstore.Object{}, changed: make(chan struct{}),
-		delay: storeLatency, cut: map[string]bool{}, createAttempts: map[string]int{},
+		delay: storeLatency, isolated: map[string]bool{}, createAttempts: map[string]int{},
 	}
 }
 
@@ -139,10 +139,10 @@
 }
 
 // SetIsolated sets whether a node is cut off from the store.
-func (s *Store) SetIsolated(node string, cut bool) {
+func (s *Store) SetIsolated(node string, isolated bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.cut[node] = cut
+	s.isolated[node] = isolated
 	s.wake()
 }
 
@@ -249,7 +249,7 @@
 	case <-time.After(delay):
 	}
 	c.store.mutex.Lock()
-	if c.store.cut[c.node] {
+	if c.store.isolated[c.node] {
 		c.store.mutex.Unlock()
 		<-ctx.Done()
 		return &objectstore.Error{Outcome: objectstore.Unknown, Detail: "the node is cut off"}
@@ -437,7 +437,8 @@
 	Token   uint64
 }
 
-// SetOrderDelay makes the platform execute orders after a delay and without an answer. 0 ends the fault.
+// SetOrderDelay makes the platform execute orders after a delay and without an answer. 0 ends the
+// fault.
 func (p *Promoter) SetOrderDelay(orderDelay time.Duration) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/internal/postgres/core/control.go
+++ b/internal/postgres/core/control.go
@@ -29,8 +29,8 @@
 		Since    uint64
 		Objects  []objectapi.Object
 		Complete uint64
-		// AskedAt is when the request to the store was sent.
-		AskedAt time.Duration
+		// RequestedAt is when the request to the store was sent.
+		RequestedAt time.Duration
 	}
 	// Accepted carries an object that the store accepted from this node.
 	Accepted struct{ Object objectapi.Object }
@@ -244,7 +244,7 @@
 		complete = 0
 	}
 	c.merge(listing.Objects, listing.Since, complete)
-	c.freshAsOf = max(c.freshAsOf, listing.AskedAt)
+	c.freshAsOf = max(c.freshAsOf, listing.RequestedAt)
 	if !gap {
 		// The store has listed everything above the known revision, so nothing is missing.
 		c.becomeReady()
--- a/internal/postgres/node/store.go
+++ b/internal/postgres/node/store.go
@@ -59,7 +59,7 @@
 		n.log.Debug("node: request to the store failed", zap.Error(err))
 		return
 	}
-	n.step(core.StoreListing{Since: since, Objects: listing.Objects, Complete: listing.Revision, AskedAt: requestedAt})
+	n.step(core.StoreListing{Since: since, Objects: listing.Objects, Complete: listing.Revision, RequestedAt: requestedAt})
 }
 
 // setWatch starts or stops watching the store. The caller must hold n.mu.
