--- a/internal/postgres/backend/conn.go
+++ b/internal/postgres/backend/conn.go
@@ -20,10 +20,10 @@
 
 // Transaction states in ReadyForQuery (PostgreSQL protocol).
 const (
-	Idle        = byte('I')
-	InProgress  = byte('T')
-	Failed      = byte('E')
-	statusWidth = 4 // columns of StatusQuery
+	Idle          = byte('I')
+	InProgress    = byte('T')
+	Failed        = byte('E')
+	statusColumns = 4 // columns of StatusQuery
 )
 
 // Address holds the address of a server and the credentials for it.
@@ -201,8 +201,8 @@
 
 func parseStatus(values [][]byte) (replication.Report, error) {
 	report := replication.Report{}
-	if len(values) != statusWidth {
-		return report, errors.Errorf("status has %d columns, want %d", len(values), statusWidth)
+	if len(values) != statusColumns {
+		return report, errors.Errorf("status has %d columns, want %d", len(values), statusColumns)
 	}
 	if string(values[0]) == replication.Primary.String() {
 		report.Role = replication.Primary
--- a/internal/postgres/core/control.go
+++ b/internal/postgres/core/control.go
@@ -254,7 +254,7 @@
 // merge adds objects to the configuration and pushes those that are new. Known objects
 // aren't pushed again, so that the propagation ends.
 func (c *Control) merge(objects []objectapi.Object, base, complete uint64) {
-	before := c.config.Complete()
+	previousComplete := c.config.Complete()
 	changed := c.config.Merge(objects, complete)
 	c.members.SetConfiguration(c.config.Digest())
 	if len(changed) == 0 {
@@ -266,17 +266,17 @@
 	if !c.ready {
 		return
 	}
-	c.pushChanges(before, changed)
+	c.pushChanges(previousComplete, changed)
 }
 
 // pushChanges sends changed objects to other members. If the complete revision has
 // advanced, everything above the previous one is included, so that a receiver at the
 // previous revision becomes complete as well.
-func (c *Control) pushChanges(before uint64, changed []objectapi.Object) {
+func (c *Control) pushChanges(previousComplete uint64, changed []objectapi.Object) {
 	objects, base, complete := changed, uint64(0), uint64(0)
-	if c.config.Complete() > before {
-		objects, complete = c.config.Since(before)
-		base = before
+	if c.config.Complete() > previousComplete {
+		objects, complete = c.config.Since(previousComplete)
+		base = previousComplete
 	}
 	if objectsSize(objects) > maxPushBytes {
 		objects = nil
--- a/internal/postgres/forward/decide_test.go
+++ b/internal/postgres/forward/decide_test.go
@@ -10,6 +10,7 @@
 	_ "dewknot/internal/base/propertytest" // fixes the seed
 )
 
+// Guards against wrong retries and failure kinds for each ending of an attempt.
 func TestDecide(t *testing.T) {
 	cases := map[string]struct {
 		attempt Attempt
--- a/internal/postgres/forward/router.go
+++ b/internal/postgres/forward/router.go
@@ -149,7 +149,7 @@
 	return owners[tries%len(owners)]
 }
 
-// tryNode makes one attempt. If ok is false, there is no result and Ending says why.
+// tryNode makes one attempt. It returns false if there is no result; Ending then says why.
 func (r *Router) tryNode(ctx context.Context, id string, submitted *request.Request, chunk func([]byte) error) (request.Result, Ending, bool) {
 	target := r.serverFor(id)
 	if target == nil {
--- a/internal/postgres/group/machine.go
+++ b/internal/postgres/group/machine.go
@@ -26,7 +26,7 @@
 	arrived  time.Duration
 	attempts int
 	server   int
-	pinned   bool
+	pinned   bool // belongs to an open transaction
 	// minPosition is the position that a server must have applied; valid after stageReadIndex.
 	minPosition position.Position
 	// hasReadIndex is true when minPosition includes a read index.
--- a/internal/postgres/group/machine_test.go
+++ b/internal/postgres/group/machine_test.go
@@ -124,7 +124,7 @@
 }
 
 // Guards against acknowledging a commit by answers that precede the commit's response.
-func TestCommitWaitsForMajorityAskedAfterwards(t *testing.T) {
+func TestCommitWaitsForMajorityQueriedAfterwards(t *testing.T) {
 	h := newHarness(t, nil)
 	h.answerHealthy(5)
 	id := h.request(nil)
@@ -224,6 +224,7 @@
 	must.Eq(t, 1, h.runs[id])
 }
 
+// Guards against failing a statement that was classified as a read but writes.
 func TestReadThatWritesMovesToPrimary(t *testing.T) {
 	h := newHarness(t, nil)
 	h.answerHealthy(5)
--- a/internal/postgres/group/servers.go
+++ b/internal/postgres/group/servers.go
@@ -20,8 +20,8 @@
 	leaving  bool
 	// leavingSince is when this machine learned that the server is leaving.
 	leavingSince time.Duration
-	running      int
-	inUse        int
+	running      int // statements
+	inUse        int // connections
 	// querySent is the number of the last status query, queryAnswered that of the last
 	// answered one.
 	querySent     uint64
@@ -163,7 +163,7 @@
 	if event.Ask <= server.queryAnswered || event.Ask > server.querySent || tooOld {
 		return
 	}
-	before := m.currentPrimary()
+	previousPrimary := m.currentPrimary()
 	server.queryAnswered = event.Ask
 	server.failures = 0
 	server.answers++
@@ -176,7 +176,7 @@
 	m.adoptTerm(event.Report.Term)
 	m.updateFreshness()
 	m.advanceWaiting()
-	if m.currentPrimary() != before {
+	if m.currentPrimary() != previousPrimary {
 		m.requeueReads()
 	}
 }
--- a/internal/postgres/group/sessions.go
+++ b/internal/postgres/group/sessions.go
@@ -54,7 +54,7 @@
 		target.canceled = true
 		m.emit(CancelRun{ID: id, Server: target.server})
 	case stageConfirmation:
-		// The commit has happened: canceling is too late.
+		// The request has run: it is too late to cancel it.
 	default:
 		m.reject(target, failure.Canceled)
 		m.dropEnded()
--- a/internal/postgres/group/types.go
+++ b/internal/postgres/group/types.go
@@ -100,13 +100,13 @@
 		Server int
 		Result RunResult
 	}
-	// StatusAnswer carries a server's answer to a status query.
+	// StatusAnswer carries a server's answer to the status query with number Ask.
 	StatusAnswer struct {
 		Server int
 		Ask    uint64
 		Report Report
 	}
-	// StatusFailure reports that a status query failed.
+	// StatusFailure reports that the status query with number Ask failed.
 	StatusFailure struct {
 		Server int
 		Ask    uint64
@@ -171,7 +171,7 @@
 		// FromReplica is true when a replica served the answer.
 		FromReplica bool
 	}
-	// Ask sends a status query.
+	// Ask sends the status query with the given number.
 	Ask struct {
 		Server int
 		Number uint64
--- a/internal/postgres/listener/server.go
+++ b/internal/postgres/listener/server.go
@@ -40,7 +40,7 @@
 	// StartupTimeout is the timeout of the startup phase, authentication included.
 	StartupTimeout time.Duration
 	// Fresh reports whether the node's configuration is recent enough to accept new
-	// requests. It is not after a pause of the process or while the node is isolated.
+	// requests. It returns false after a pause of the process and while the node is isolated.
 	Fresh func() bool
 	// Authenticate is false if callers need no password, as in demos and tests.
 	Authenticate bool
--- a/internal/postgres/listener/session.go
+++ b/internal/postgres/listener/session.go
@@ -31,7 +31,7 @@
 	name            string // dewknot.session
 	kind            string
 	minPosition     position.Position // latest position of the session, see setPosition
-	carriesPosition bool              // the caller has set dewknot.position, so requests carry minPosition
+	carriesPosition bool              // dewknot.position is set, so requests carry minPosition
 	repeatable      string
 
 	// status is the transaction state shown to the caller.
--- a/internal/postgres/membership/machine.go
+++ b/internal/postgres/membership/machine.go
@@ -24,7 +24,8 @@
 	SuspicionFactor float64
 	// DeadRetention is how long dead members are kept and probed.
 	DeadRetention time.Duration
-	// DeadProbeEvery is n if every n-th probe goes to a dead member or a seed.
+	// DeadProbeEvery is the number of probe intervals between probes of dead members or
+	// seeds.
 	DeadProbeEvery int
 	// Fanout is the number of members to which a configuration change is pushed.
 	Fanout int
--- a/internal/postgres/membership/probes.go
+++ b/internal/postgres/membership/probes.go
@@ -9,11 +9,11 @@
 func (m *Machine) answerPing(message Message) {
 	sender, ok := m.members[message.From]
 	if !ok {
-		return // dead members that were removed
+		return // the sender was dead and has been removed
 	}
 	m.send(sender.Addresses.Gossip, Message{Kind: Ack, Sequence: message.Sequence, Target: m.self.ID})
 	if sender.Status == Dead || sender.Status == Suspect {
-		// Include its state, so that it can refute it.
+		// Include the sender's state as known here, so that the sender can refute it.
 		last := &m.effects[len(m.effects)-1].Message
 		last.Updates = append(last.Updates, sender.Member)
 	}
--- a/internal/postgres/owner/groups.go
+++ b/internal/postgres/owner/groups.go
@@ -150,7 +150,7 @@
 func (g *Groups) limits(config *configuration.Group, asOwner bool) group.Settings {
 	const (
 		statusConnections = 2 // one each for owner and standby
-		standbyDivisor    = 5
+		standbyDivisor    = 5 // the standby gets a fifth of the limits
 	)
 	settings := g.settings
 	settings.Servers = len(config.Servers)
@@ -290,11 +290,11 @@
 
 // ActiveCount returns the number of requests in progress and open transactions on this node.
 func (g *Groups) ActiveCount() int {
-	busy := 0
+	active := 0
 	for _, status := range g.Status() {
-		busy += status.InProgress + status.OpenTransactions
+		active += status.InProgress + status.OpenTransactions
 	}
-	return busy
+	return active
 }
 
 // Drain rejects new requests. Requests in progress and open transactions continue.
--- a/internal/postgres/owner/server.go
+++ b/internal/postgres/owner/server.go
@@ -42,14 +42,14 @@
 
 // Server serves one group.
 type Server struct {
-	config         *configuration.Group
-	log            *zap.Logger
-	started        time.Time
-	pools          []*backend.Pool
-	statusRequests []chan uint64 // number of the pending status request, by server
-	ctx            context.Context
-	cancel         context.CancelFunc
-	done           sync.WaitGroup
+	config        *configuration.Group
+	log           *zap.Logger
+	started       time.Time
+	pools         []*backend.Pool
+	statusQueries []chan uint64 // number of the pending status query, by server
+	ctx           context.Context
+	cancel        context.CancelFunc
+	done          sync.WaitGroup
 
 	mu        sync.Mutex // guards machine, calls, pinned and wakeTimer
 	machine   *group.Machine
@@ -72,7 +72,7 @@
 	}
 	for index := range config.Servers {
 		server.pools = append(server.pools, backend.NewPool(server.address(index)))
-		server.statusRequests = append(server.statusRequests, make(chan uint64, 1))
+		server.statusQueries = append(server.statusQueries, make(chan uint64, 1))
 	}
 	server.wakeTimer = time.AfterFunc(time.Hour, func() { server.step(group.Tick{}) })
 	for index := range config.Servers {
@@ -137,8 +137,8 @@
 		delete(s.calls, typed.ID)
 	case group.Ask:
 		select {
-		case s.statusRequests[typed.Server] <- typed.Number:
-		default: // statusLoop is still busy with a request that has timed out
+		case s.statusQueries[typed.Server] <- typed.Number:
+		default: // statusLoop is still busy with a query that has timed out
 		}
 	case group.Disconnect:
 		s.log.Info("owner: server is unfit, closing its connections",
--- a/internal/postgres/owner/status.go
+++ b/internal/postgres/owner/status.go
@@ -8,7 +8,7 @@
 	"dewknot/internal/postgres/group"
 )
 
-// statusTimeout is the timeout of one status request, dialing included.
+// statusTimeout is the timeout of one status query, dialing included.
 const statusTimeout = 500 * time.Millisecond
 
 // statusLoop serves the Ask effects for one server on a dedicated connection.
@@ -24,14 +24,14 @@
 		select {
 		case <-s.ctx.Done():
 			return
-		case number := <-s.statusRequests[index]:
-			conn = s.requestStatus(index, number, conn)
+		case number := <-s.statusQueries[index]:
+			conn = s.queryStatus(index, number, conn)
 		}
 	}
 }
 
-// requestStatus sends one status request. It returns the connection, or nil if it failed.
-func (s *Server) requestStatus(index int, number uint64, conn *backend.Conn) *backend.Conn {
+// queryStatus sends one status query. It returns the connection, or nil if it failed.
+func (s *Server) queryStatus(index int, number uint64, conn *backend.Conn) *backend.Conn {
 	deadline := time.Now().Add(statusTimeout)
 	if conn == nil {
 		ctx, cancel := context.WithDeadline(s.ctx, deadline)
--- a/internal/postgres/peer/client.go
+++ b/internal/postgres/peer/client.go
@@ -249,7 +249,7 @@
 func (c *clientLink) watch() {
 	ticker := time.NewTicker(pingInterval)
 	defer ticker.Stop()
-	idleSince := time.Now()
+	lastIdle := time.Now()
 	for {
 		select {
 		case <-c.lost:
@@ -260,10 +260,10 @@
 		openStreams, silence := len(c.streams), time.Since(c.lastSeen)
 		c.mu.Unlock()
 		if openStreams == 0 {
-			idleSince = time.Now()
+			lastIdle = time.Now()
 			continue
 		}
-		if silence > silenceTimeout && time.Since(idleSince) > silenceTimeout {
+		if silence > silenceTimeout && time.Since(lastIdle) > silenceTimeout {
 			c.fail(errors.Errorf("no frame from the peer for %s", silence.Round(time.Millisecond)))
 			return
 		}
--- a/internal/postgres/policy/compile.go
+++ b/internal/postgres/policy/compile.go
@@ -111,8 +111,8 @@
 	return nil
 }
 
-// allowedNames are the predeclared Starlark names that a policy may use, besides any,
-// which policies redefine.
+// allowedNames are the predeclared Starlark names that a policy may use. The name "any" is
+// allowed too, because builtins defines it as a freshness function.
 var allowedNames = map[string]bool{"True": true, "False": true, "None": true, "range": true}
 
 func allowedNode(node syntax.Node) bool {
@@ -134,8 +134,8 @@
 	}
 }
 
-// allowedOperators are the binary operators that conditions may use. EQ is the sign of
-// keyword arguments.
+// allowedOperators are the binary operators that conditions may use. The parser represents
+// a keyword argument as a binary expression with EQ.
 var allowedOperators = map[syntax.Token]bool{
 	syntax.EQ: true, syntax.EQL: true, syntax.NEQ: true, syntax.LT: true, syntax.GT: true,
 	syntax.LE: true, syntax.GE: true, syntax.AND: true, syntax.OR: true, syntax.IN: true,
--- a/internal/postgres/policy/table.go
+++ b/internal/postgres/policy/table.go
@@ -43,8 +43,8 @@
 	Refuse bool `msgpack:"x"`
 	// RetryAfter is the retry delay for callers whose requests are rejected by Refuse.
 	RetryAfter time.Duration `msgpack:"ra"`
-	// Repeatable allows a write to be sent again if it certainly wasn't run. It has no
-	// effect on retries, which require that for every write; it is kept for checkers.
+	// Repeatable allows a write to be sent again if it certainly wasn't run. Retries ignore
+	// it, because they send every such write again; it is kept for checkers.
 	Repeatable bool `msgpack:"rp"`
 	// Write sends the kind to the primary even if its statements look like reads.
 	Write bool `msgpack:"wr"`
--- a/internal/postgres/replication/group_test.go
+++ b/internal/postgres/replication/group_test.go
@@ -21,7 +21,7 @@
 			server := rapid.IntRange(0, 2).Draw(t, "server")
 			switch rapid.IntRange(0, 4).Draw(t, "action") {
 			case 0:
-				group.SetIsolated(server, rapid.Bool().Draw(t, "cut"))
+				group.SetIsolated(server, rapid.Bool().Draw(t, "isolated"))
 			case 1:
 				group.SetDown(server, rapid.Bool().Draw(t, "down"))
 			default:
--- a/internal/postgres/request/request.go
+++ b/internal/postgres/request/request.go
@@ -29,7 +29,8 @@
 	// Status is the transaction status to report to the caller.
 	Status byte `msgpack:"t"`
 	// Synced is false when the batch ended with Flush.
-	Synced      bool              `msgpack:"y"`
+	Synced bool `msgpack:"y"`
+	// Position is the position that the caller may carry; zero if nothing was written.
 	Position    position.Position `msgpack:"p"`
 	FromReplica bool              `msgpack:"f"`
 	// Data is the last part of the answer. Earlier parts are passed to Submit's chunk.
--- a/internal/postgres/statement/scan.go
+++ b/internal/postgres/statement/scan.go
@@ -27,7 +27,7 @@
 
 func (s *scanner) peekIs(prefix string) bool { return strings.HasPrefix(s.text[s.offset:], prefix) }
 
-// next returns the next token; ok is false at the end of the text.
+// next returns the next token, or false at the end of the text.
 func (s *scanner) next() (token, bool) {
 	for s.offset < len(s.text) {
 		char := s.text[s.offset]
