--- a/internal/lab/check/check.go
+++ b/internal/lab/check/check.go
@@ -22,7 +22,7 @@
 	// NoReplacedPrimary: reads see, and acknowledged writes are in, the group's final log
 	// and not only the log of a replaced primary.
 	NoReplacedPrimary Promise = "no_replaced_primary"
-	// TransactionsApart: a transaction commits whole and without statements of others.
+	// TransactionsApart: a transaction commits completely and without statements of others.
 	TransactionsApart Promise = "transactions_apart"
 	// OwnCompleteAnswer: an answer belongs to its request and is complete.
 	OwnCompleteAnswer Promise = "own_complete_answer"
@@ -50,9 +50,9 @@
 
 // Times within which changes must take effect.
 const (
-	// LeavingLimit is for marks of leaving servers.
+	// LeavingLimit applies to marks of leaving servers.
 	LeavingLimit = 5 * time.Second
-	// PolicyLimit is for policy versions.
+	// PolicyLimit applies to policy versions.
 	PolicyLimit = 8 * time.Second
 )
 
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -39,7 +39,7 @@
 	thinkTime     = 250 * time.Millisecond
 	readTime      = 4 * time.Millisecond
 	writeTime     = 8 * time.Millisecond
-	// gentvaartReplicaWait is the replica_wait of examples/gentvaart.star.
+	// gentvaartReplicaWait is the replica_wait of session reads in examples/gentvaart.star.
 	gentvaartReplicaWait = 500 * time.Millisecond
 )
 
@@ -225,14 +225,14 @@
 // Shares compares the queue disciplines while a reseller uses twice as many connections as all
 // passengers, each with twenty times the requests of a passenger's connection.
 func Shares() []ShareOutcome {
-	const resellers, passengers, greed = 300, 150, 20
+	const resellers, passengers, resellerFactor = 300, 150, 20
 	var outcomes []ShareOutcome
 	for _, discipline := range Disciplines {
 		settings := Deployments()[0].Settings
 		settings.Faults = nil
 		settings.Group.Discipline = discipline.Value
 		settings.Workload.Clients = resellers + passengers
-		settings.Workload.Resellers, settings.Workload.ResellerFactor = resellers, greed
+		settings.Workload.Resellers, settings.Workload.ResellerFactor = resellers, resellerFactor
 		settings.Workload.SurgeFactor = 1
 		recorded, _ := sim.Run(settings)
 		outcomes = append(outcomes, ShareOutcome{discipline.Name, callerOutcome(recorded.Operations, "passenger"), callerOutcome(recorded.Operations, "reseller")})
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -32,9 +32,9 @@
 	Zones  []string
 	Groups []database.Settings
 	// Authenticate makes nodes require passwords from callers.
-	Authenticate bool
-	ReviewNeeded bool
-	Log          *zap.Logger
+	Authenticate   bool
+	ReviewRequired bool
+	Log            *zap.Logger
 	// FirstPort is the port on which the first node accepts callers; 0 selects free ports.
 	FirstPort int
 }
@@ -125,7 +125,7 @@
 	config.Zone = f.settings.Zones[index%len(f.settings.Zones)]
 	config.Store = f.storeURL
 	config.FleetKeys = []string{Key}
-	config.ReviewRequired = f.settings.ReviewNeeded
+	config.ReviewRequired = f.settings.ReviewRequired
 	if !f.settings.Authenticate {
 		config.Authentication = "trust"
 	}
@@ -206,13 +206,13 @@
 const pollInterval = 10 * time.Millisecond
 
 // Wait polls a condition and returns an error if it doesn't hold within the limit.
-func Wait(limit time.Duration, condition func() bool) error {
-	for deadline := time.Now().Add(limit); time.Now().Before(deadline); time.Sleep(pollInterval) {
+func Wait(timeout time.Duration, condition func() bool) error {
+	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); time.Sleep(pollInterval) {
 		if condition() {
 			return nil
 		}
 	}
-	return errors.Errorf("the condition did not hold within %s; check the log", limit)
+	return errors.Errorf("the condition did not hold within %s; check the log", timeout)
 }
 
 // Close stops all nodes, groups and the store.
--- a/internal/lab/judge/judge.go
+++ b/internal/lab/judge/judge.go
@@ -33,7 +33,7 @@
 
 type requestState struct {
 	session string
-	// tenant is the tenant in whose name the request must run; empty if it doesn't matter.
+	// tenant is the tenant in whose name the request must run; empty if callers need no key.
 	tenant    string
 	freshness catalog.Freshness
 	staleness time.Duration
--- a/internal/lab/sim/client.go
+++ b/internal/lab/sim/client.go
@@ -70,15 +70,15 @@
 
 // caller is one simulated session. Each operation connects to a randomly chosen node.
 type caller struct {
-	world          *World
-	name           string
-	user           string
-	group          string
-	carries        bool
-	position       position.Position
-	operationCount int
-	conn           *callerConn
-	meanThinkTime  time.Duration
+	world           *World
+	name            string
+	user            string
+	group           string
+	carriesPosition bool
+	position        position.Position
+	operationCount  int
+	conn            *callerConn
+	meanThinkTime   time.Duration
 }
 
 // clientTimeout is the time after which a caller gives up on an operation.
@@ -89,7 +89,8 @@
 	for index := range workload.Clients {
 		created := &caller{
 			world: w, name: fmt.Sprintf("session%d", index), user: "passenger", meanThinkTime: workload.Think,
-			group: groupName(index % w.settings.Groups), carries: w.random.Float64() < workload.CarryShare,
+			group:           groupName(index % w.settings.Groups),
+			carriesPosition: w.random.Float64() < workload.CarryShare,
 		}
 		if index < workload.Resellers {
 			created.user = "reseller"
@@ -150,12 +151,12 @@
 	}
 	rule := table.Rule(operation.Kind)
 	operation.Freshness, operation.MaxLag = rule.Freshness.String(), rule.MaxLag
-	attempt := &attempt{caller: c, operation: operation}
-	attempt.connect()
+	active := &activeOperation{caller: c, operation: operation}
+	active.connect()
 }
 
-// attempt is one operation in progress.
-type attempt struct {
+// activeOperation is one operation in progress.
+type activeOperation struct {
 	caller    *caller
 	operation history.Operation
 	step      int
@@ -166,7 +167,7 @@
 
 // connect closes the caller's connection, connects to a random node and sends the first
 // statement.
-func (a *attempt) connect() {
+func (a *activeOperation) connect() {
 	c := a.caller
 	if old := c.conn; old != nil {
 		c.conn = nil
@@ -191,7 +192,7 @@
 }
 
 // statements returns the statements of the operation.
-func (a *attempt) statements() []statement {
+func (a *activeOperation) statements() []statement {
 	id := a.operation.ID
 	switch a.operation.Type {
 	case history.Read:
@@ -208,13 +209,13 @@
 	}
 }
 
-func (a *attempt) sendStatement() {
+func (a *activeOperation) sendStatement() {
 	c := a.caller
 	conn := c.conn
 	request := callerRequest{
 		group: c.group, kind: a.operation.Kind, statement: a.statements()[a.step], caller: c.user,
 	}
-	if c.carries {
+	if c.carriesPosition {
 		request.minPosition = c.position
 	}
 	run := conn.run
@@ -232,13 +233,13 @@
 	})
 }
 
-// rejectedAtArrival ends the attempt if the node had closed the idle connection before the
+// rejectedAtArrival ends the operation if the node had closed the idle connection before the
 // request arrived. The node reports that with SQLSTATE 57P01, so the request did not run.
-func (a *attempt) rejectedAtArrival() {
+func (a *activeOperation) rejectedAtArrival() {
 	a.end(history.NotRun, failure.Stopping, callerReply{})
 }
 
-func (a *attempt) handleReply(reply callerReply) {
+func (a *activeOperation) handleReply(reply callerReply) {
 	if a.ended {
 		return
 	}
@@ -259,7 +260,7 @@
 	a.end(history.OK, failure.None, reply)
 }
 
-func (a *attempt) end(outcome history.Outcome, kind failure.Kind, reply callerReply) {
+func (a *activeOperation) end(outcome history.Outcome, kind failure.Kind, reply callerReply) {
 	if a.ended {
 		return
 	}
--- a/internal/lab/sim/node.go
+++ b/internal/lab/sim/node.go
@@ -18,7 +18,7 @@
 	world    *World
 	index    int
 	location location
-	run      int // counts restarts
+	run      int // number of starts of the process
 	started  time.Duration
 	alive    bool
 
--- a/internal/lab/standin/managed/managed.go
+++ b/internal/lab/standin/managed/managed.go
@@ -31,9 +31,9 @@
 type Observer interface {
 	// StatementRan reports each statement that a server runs, except COMMIT and ROLLBACK.
 	StatementRan(run Run)
-	// ReadRan reports a caller's read. has reports whether the server has applied a commit at
-	// the time of the read.
-	ReadRan(requestID string, at time.Time, has func(position.Position) bool)
+	// ReadRan reports a caller's read. contains reports whether the server has applied a commit
+	// at the time of the read.
+	ReadRan(requestID string, at time.Time, contains func(position.Position) bool)
 	// WritesCommitted reports that the writes of some requests took effect.
 	WritesCommitted(requestIDs []string, at position.Position)
 	// RolledBack reports that a promotion removed a commit.
@@ -84,18 +84,20 @@
 	data      string
 }
 
-// Group is a service: one primary and its replicas.
+// Group is a service: one primary and its replicas. Its methods are safe for concurrent use.
 type Group struct {
 	settings Settings
 	observer Observer
 	publish  func(Entry)
 
-	mutex   sync.Mutex
+	mutex   sync.Mutex // guards the fields below, settings.Connections and the servers
 	term    uint64
 	primary *Server
 	servers []*Server
-	fence   uint64
-	serial  int
+	// fence is the highest token of the orders accepted.
+	fence uint64
+	// serial is the number of servers started; it makes their IDs unique.
+	serial int
 	// loweredTokens counts the orders whose token was lower than that of an earlier order.
 	loweredTokens int
 	// highestToken is the highest token of all orders received, including rejected ones.
--- a/internal/lab/standin/managed/server.go
+++ b/internal/lab/standin/managed/server.go
@@ -265,6 +265,7 @@
 	return s.log[s.applied-1].at
 }
 
+// received returns the position up to which the server has received the log. The lock must be held.
 func (s *Server) received() position.Position {
 	if len(s.log) == 0 {
 		return position.Position{Term: 1}
@@ -272,6 +273,7 @@
 	return s.log[len(s.log)-1].at
 }
 
+// status returns the answer to a status request. The lock must be held.
 func (s *Server) status() *upstream.Status {
 	return &upstream.Status{
 		Primary: s.isPrimary(), Term: s.term(), Received: s.received(),
--- a/internal/lab/standin/managed/session.go
+++ b/internal/lab/standin/managed/session.go
@@ -201,7 +201,7 @@
 func (s *Session) run(operation *upstream.Operation) (upstream.Result, bool) {
 	if takesSlot(operation.Kind) {
 		if !s.takeSlot() {
-			return s.refuseBusy(), false
+			return s.rejectBusy(), false
 		}
 		time.Sleep(s.server.statementTime())
 		defer s.releaseSlot()
@@ -252,7 +252,7 @@
 	s.server.running--
 }
 
-func (s *Session) refuseBusy() upstream.Result {
+func (s *Session) rejectBusy() upstream.Result {
 	defer s.server.lock()()
 	return s.result(upstream.Busy)
 }
--- a/internal/lab/standin/managed/store.go
+++ b/internal/lab/standin/managed/store.go
@@ -29,7 +29,7 @@
 // storeLatency is the usual latency of the store.
 const storeLatency = 4 * time.Millisecond
 
-// Store is a durable store of objects.
+// Store is a durable store of objects. Its methods are safe for concurrent use.
 type Store struct {
 	mutex sync.Mutex
 	// era increases each time the store is restored from a copy. Objects are kept with revision
--- a/internal/lab/timeline/timeline.go
+++ b/internal/lab/timeline/timeline.go
@@ -1,6 +1,6 @@
 // Package timeline counts the events in the logs of several nodes over time and draws them on
-// one page: the outcomes of requests, and below them takeovers, configuration changes, starts
-// and stops of nodes and outages of the store.
+// one page: the outcomes of requests, and below them changes of the primary and of the
+// configuration, starts and stops of nodes and outages of the store.
 //
 // Nodes log only a limited number of lines per second, so lines of served requests, and of
 // failed ones if there are many, may be missing. Nodes log the number of dropped lines each
@@ -24,7 +24,7 @@
 const (
 	Served Ending = iota
 	Late
-	Refused
+	Rejected
 	Unknown
 	endingCount
 )
@@ -39,7 +39,7 @@
 	Degraded
 	StoreLost
 	Configuration
-	Takeover
+	PrimaryReplaced
 	markCount
 )
 
@@ -105,7 +105,7 @@
 	case eventlog.RequestFailed:
 		ending := Unknown
 		if line.Text("promised_not_kept") == "true" {
-			ending = Refused
+			ending = Rejected
 		}
 		t.addRequests(ending, line.Time, 1)
 	case eventlog.LinesDropped:
@@ -128,19 +128,19 @@
 		}
 	case eventlog.FailoverOrder:
 		if line.Text("outcome") == "accepted" {
-			t.addMark(Takeover, line.Time)
+			t.addMark(PrimaryReplaced, line.Time)
 		}
 	}
 }
 
 // countDropped counts requests whose lines were dropped in the previous second. Served ones
-// count as not late, since their response times are unknown, and failed ones as refused.
+// count as not late, since their response times are unknown, and failed ones as rejected.
 func (t *Timeline) countDropped(line *explain.Line) {
 	if served, ok := numericField(line, string(eventlog.RequestServed)); ok {
 		t.addRequests(Served, line.Time, served)
 	}
 	if failed, ok := numericField(line, string(eventlog.RequestFailed)); ok {
-		t.addRequests(Refused, line.Time, failed)
+		t.addRequests(Rejected, line.Time, failed)
 	}
 }
 
--- a/internal/lab/timeline/timeline_test.go
+++ b/internal/lab/timeline/timeline_test.go
@@ -43,7 +43,7 @@
 	must.NoError(t, err)
 	must.Eq(t, []float64{1, 0, 40}, counted.Requests[Served])
 	must.Eq(t, []float64{0, 1, 0}, counted.Requests[Late])
-	must.Eq(t, []float64{0, 1, 2}, counted.Requests[Refused])
+	must.Eq(t, []float64{0, 1, 2}, counted.Requests[Rejected])
 	must.Eq(t, []float64{0, 1, 0}, counted.Requests[Unknown])
 	for mark, times := range counted.Marked {
 		must.Len(t, 1, times, must.Sprint(markNames[mark]))
