--- a/internal/cli/load.go
+++ b/internal/cli/load.go
@@ -103,7 +103,7 @@
 // checkHistory checks the recorded history against the logs of the stand-in group.
 func (c *loadCommand) checkHistory(env *environment, recorded *history.History, group string) error {
 	client := database.NewClient(c.Control)
-	leader, servers, err := client.Leader()
+	primary, servers, err := client.Leader()
 	if err != nil {
 		return err
 	}
@@ -113,7 +113,7 @@
 			return err
 		}
 	}
-	load.CollectCommits(recorded, group, leader, logs)
+	load.CollectCommits(recorded, group, primary, logs)
 	if c.Save != "" {
 		if err := saveHistory(c.Save, recorded); err != nil {
 			return err
--- a/internal/proxy/admission/throughput.go
+++ b/internal/proxy/admission/throughput.go
@@ -43,13 +43,13 @@
 
 // wait returns the expected wait. The lock is held.
 func (g *Gate) wait(request *Request) time.Duration {
-	before := 1 + g.before(request)
+	before := 1 + g.countBefore(request)
 	free := int(g.limit) - g.running
 	return time.Duration(max(0, before-free)) * g.throughput.interval
 }
 
-// before counts the waiting work that would be admitted before new work.
-func (g *Gate) before(request *Request) int {
+// countBefore counts the waiting work that would be admitted before new work.
+func (g *Gate) countBefore(request *Request) int {
 	rank := request.rank()
 	var exclusive, shared, later int
 	for _, w := range g.waiting {
--- a/internal/proxy/backends/backends.go
+++ b/internal/proxy/backends/backends.go
@@ -144,7 +144,7 @@
 	b.links.Close()
 	b.Owner.Close()
 	b.Servers.Range(func(_, value any) bool {
-		value.(*Server).Pool.Shut()
+		value.(*Server).Pool.Close()
 		return true
 	})
 }
--- a/internal/proxy/backends/headroom.go
+++ b/internal/proxy/backends/headroom.go
@@ -21,7 +21,7 @@
 		return admission.QueueEstimate{}, 0
 	}
 	wait, _ := t.ReportedWait(class, level, now)
-	return admission.QueueEstimate{Recent: true, Wait: wait, Waiting: int(report.Waiting), Sent: int(t.Remote.Load())}, age
+	return admission.QueueEstimate{Recent: true, Wait: wait, Waiting: int(report.Waiting), Sent: int(t.RemoteWork.Load())}, age
 }
 
 // ReportedWait returns the wait for work as reported by the server's owner; false if there is no
@@ -96,7 +96,7 @@
 // position; 0 if no recent answer shows a lag.
 func (o *ownedServer) behind(now time.Time) time.Duration {
 	at, seenAt := o.Stats.Position()
-	if at.IsZero() || now.Sub(seenAt) >= loadreport.MaxAge || o.ID == o.service.Leadership.Leader() {
+	if at.IsZero() || now.Sub(seenAt) >= loadreport.MaxAge || o.ID == o.service.PrimaryView.Primary() {
 		return 0
 	}
 	since, lacks := o.service.Proofs.FirstMissing(at)
--- a/internal/proxy/backends/health.go
+++ b/internal/proxy/backends/health.go
@@ -37,7 +37,7 @@
 // primaryHealth is the evidence against the primary. It is used only by the goroutine that polls
 // the services, except for the channel of results.
 type primaryHealth struct {
-	leader      string
+	primary     string
 	missedPings int
 	pinging     bool
 	// loggedDown is set once the log says that the primary does not answer.
@@ -89,12 +89,12 @@
 
 // poll gathers evidence and passes an observation to the failover machine.
 func (s *Service) poll(now time.Time, suspended bool) {
-	leader := s.lastPrimary()
-	if leader != s.health.leader || suspended || s.health.results == nil {
-		s.health = primaryHealth{leader: leader, results: make(chan probeResult, 1)}
+	primary := s.lastPrimary()
+	if primary != s.health.primary || suspended || s.health.results == nil {
+		s.health = primaryHealth{primary: primary, results: make(chan probeResult, 1)}
 	}
 	s.collectPing()
-	target := s.backends.Server(leader)
+	target := s.backends.Server(primary)
 	down := target != nil && s.health.missedPings >= missedPingsToDown
 	s.reportHealth(down)
 	if target != nil && !s.health.pinging && s.needsPing(target, now) {
@@ -108,7 +108,7 @@
 		view := s.backends.Tenures.View(s.Name)
 		s.leaseOutage.Record(now, view != nil && view.Covers(now))
 	}
-	observation := s.observe(leader, down)
+	observation := s.observe(primary, down)
 	if observation.Voiceless && s.holdsLease() {
 		s.Prewarm(upstream.Own)
 	}
@@ -125,7 +125,7 @@
 	if down {
 		event = eventlog.ServerUnreachable
 	}
-	s.backends.log.Write(event, zap.String("service", s.Name), zap.String("server", s.health.leader),
+	s.backends.log.Write(event, zap.String("service", s.Name), zap.String("server", s.health.primary),
 		zap.Int("missed", s.health.missedPings))
 }
 
@@ -174,15 +174,15 @@
 	}()
 }
 
-func (s *Service) observe(leader string, down bool) failover.Observation {
+func (s *Service) observe(primary string, down bool) failover.Observation {
 	observation := failover.Observation{
-		Leader: leader, LeaderDown: down, SynchronousReplicas: s.synchronousReplicas(), Degraded: s.backends.Degraded.Load(),
+		Leader: primary, LeaderDown: down, SynchronousReplicas: s.synchronousReplicas(), Degraded: s.backends.Degraded.Load(),
 	}
 	// A primary whose entry is no longer in the directory counts as gone.
-	observation.LeaderGone = leader != ""
+	observation.LeaderGone = primary != ""
 	homes := s.routeHomes()
 	for _, entry := range s.backends.catalog.Current().ByService[s.Name] {
-		if entry.ID == leader {
+		if entry.ID == primary {
 			observation.LeaderDraining = entry.Draining || entry.Evacuated()
 			observation.LeaderGone = entry.Gone
 			observation.LeaderAway = !s.backends.Allows(entry.Zone, homes...)
@@ -232,10 +232,10 @@
 	go func() {
 		defer s.findingPrimary.Unlock()
 		now := time.Now()
-		current := s.Leadership.Leader()
+		current := s.PrimaryView.Primary()
 		for _, entry := range s.backends.catalog.Current().ByService[s.Name] {
 			target := s.backends.Server(entry.ID)
-			if entry.ID == current || entry.Gone || target == nil || s.Leadership.RecentlyDenied(entry.ID, now) ||
+			if entry.ID == current || entry.Gone || target == nil || s.PrimaryView.RecentlyDenied(entry.ID, now) ||
 				target.Stats.Avoided(now) {
 				continue
 			}
--- a/internal/proxy/backends/metrics.go
+++ b/internal/proxy/backends/metrics.go
@@ -117,7 +117,7 @@
 		running, waiting := s.Gate.Load()
 		for desc, value := range map[*prometheus.Desc]float64{
 			c.connections: float64(s.Pool.Open()), c.running: float64(running), c.waiting: float64(waiting),
-			c.limit: s.Gate.Limit(), c.remote: float64(s.Remote.Load()), c.lag: s.Stats.Lag(now).Seconds(),
+			c.limit: s.Gate.Limit(), c.remote: float64(s.RemoteWork.Load()), c.lag: s.Stats.Lag(now).Seconds(),
 		} {
 			out <- prometheus.MustNewConstMetric(desc, prometheus.GaugeValue, value, s.service, s.ID)
 		}
--- a/internal/proxy/backends/service.go
+++ b/internal/proxy/backends/service.go
@@ -40,18 +40,18 @@
 	// them that does not reach the server.
 	owners       atomic.Pointer[ranking]
 	skippedOwner atomic.Pointer[skippedOwner]
-	// Remote counts this node's work on the server that goes through an owner. LoadReports
+	// RemoteWork counts this node's work on the server that goes through an owner. LoadReports
 	// holds the owner's load reports.
-	Remote      atomic.Int64
+	RemoteWork  atomic.Int64
 	LoadReports loadreport.View
 }
 
 // Service is the runtime state of a service.
 type Service struct {
-	backends   *Backends
-	Name       string
-	Leadership *leadership.PrimaryView
-	Proofs     freshness.Proofs
+	backends    *Backends
+	Name        string
+	PrimaryView *leadership.PrimaryView
+	Proofs      freshness.Proofs
 
 	// proofRefresh lets one goroutine at a time ask the primary for a proof.
 	proofRefresh proofRefresher
@@ -70,12 +70,12 @@
 	Rejections Rejections
 	// prewarmed is set once connections were opened in advance.
 	prewarmed atomic.Bool
-	// replication is a semaphore with one slot. It keeps surveys, which may pause replication,
+	// replicationLock is a semaphore with one slot. It keeps surveys, which may pause replication,
 	// apart from resuming replication. Both wait for servers while they hold it.
-	replication    chan struct{}
-	findingPrimary sync.Mutex
-	mutex          sync.Mutex
-	machine        *failover.Machine
+	replicationLock chan struct{}
+	findingPrimary  sync.Mutex
+	mutex           sync.Mutex
+	machine         *failover.Machine
 	// trace records the machine's steps; nil without tracing.
 	trace     FailoverTrace
 	lastPhase failover.Phase
@@ -88,7 +88,7 @@
 	}
 	rankDelay := b.takeoverDelay(name)
 	created := &Service{
-		backends: b, Name: name, Leadership: leadership.NewPrimaryView(), replication: make(chan struct{}, 1),
+		backends: b, Name: name, PrimaryView: leadership.NewPrimaryView(), replicationLock: make(chan struct{}, 1),
 		machine: failover.New(failover.Config{
 			Node: b.options.Name, Incarnation: b.options.Incarnation, RankDelay: rankDelay, UsesTenures: b.Tenures != nil,
 		}),
@@ -178,8 +178,8 @@
 	}
 	if entry.Role == catalog.Primary && !entry.Gone && b.Tenures == nil {
 		service := b.Service(entry.Service)
-		replaced := service.Leadership.Leader() != ""
-		if service.Leadership.ApplyAnnouncement(entry.ID, entry.Revision) {
+		replaced := service.PrimaryView.Primary() != ""
+		if service.PrimaryView.ApplyAnnouncement(entry.ID, entry.Revision) {
 			if replaced {
 				b.RefreshLeases()
 			}
@@ -246,7 +246,7 @@
 
 func (b *Backends) forgetServer(id string) {
 	if found, ok := b.Servers.LoadAndDelete(id); ok {
-		found.(*Server).Pool.Shut()
+		found.(*Server).Pool.Close()
 	}
 }
 
@@ -258,13 +258,13 @@
 	return nil
 }
 
-// Leader returns the primary if this node may use it now, else nil.
-func (s *Service) Leader(now time.Time) *Server {
-	id := s.Leadership.Leader()
+// UsablePrimary returns the primary if this node may use it now, else nil.
+func (s *Service) UsablePrimary(now time.Time) *Server {
+	id := s.PrimaryView.Primary()
 	if id == "" || !s.Usable(id, now) || !s.hasLeases(now) {
 		return nil
 	}
-	if s.backends.Tenures != nil && s.Leadership.RecentlyDenied(id, now) {
+	if s.backends.Tenures != nil && s.PrimaryView.RecentlyDenied(id, now) {
 		return nil
 	}
 	return s.backends.Server(id)
@@ -365,7 +365,7 @@
 	phase := s.machine.Phase()
 	if phase != s.lastPhase {
 		s.backends.log.Write(eventlog.FailoverPhase, zap.String("service", s.Name), zap.Stringer("phase", phase),
-			zap.String("leader", s.Leadership.Leader()), zap.Bool("holding", s.machine.HoldsLease()))
+			zap.String("leader", s.PrimaryView.Primary()), zap.Bool("holding", s.machine.HoldsLease()))
 		s.backends.metrics.failovers.WithLabelValues(s.Name, phase.String()).Inc()
 		s.lastPhase = phase
 	}
@@ -398,7 +398,7 @@
 	case failover.Order:
 		s.order(effect, decided)
 	case failover.LeaderFound:
-		if s.Leadership.Confirm(effect.ID, s.Leadership.Term()) {
+		if s.PrimaryView.Confirm(effect.ID, s.PrimaryView.Term()) {
 			s.backends.log.Write(eventlog.PrimaryProved, zap.String("by", "survey"),
 				zap.String("service", s.Name), zap.String("server", effect.ID))
 		}
@@ -417,7 +417,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), orderTimeout)
 	defer cancel()
 	outcome := s.backends.ports.Promoter.Promote(ctx, s.Name, effect.Target, s.backends.options.Name, effect.Token)
-	s.backends.log.Write(eventlog.FailoverOrder, zap.String("service", s.Name), zap.String("leader", s.Leadership.Leader()),
+	s.backends.log.Write(eventlog.FailoverOrder, zap.String("service", s.Name), zap.String("leader", s.PrimaryView.Primary()),
 		zap.String("target", effect.Target), zap.Uint64("token", effect.Token), zap.Stringer("outcome", outcome))
 	s.submit(failover.Ordered{Outcome: outcome})
 }
@@ -425,7 +425,7 @@
 // Load returns how much work of this node runs on the server or waits for it.
 func (t *Server) Load() int {
 	running, waiting := t.Gate.Load()
-	return running + waiting + int(t.Remote.Load())
+	return running + waiting + int(t.RemoteWork.Load())
 }
 
 // ExpectedWait returns the expected wait for a slot of the server. It uses the owner's load report
--- a/internal/proxy/backends/survey.go
+++ b/internal/proxy/backends/survey.go
@@ -16,8 +16,8 @@
 const (
 	// BusyPause is the pause before a retry at a server that had no free slot.
 	BusyPause = 15 * time.Millisecond
-	// LeaderPause is the longest wait for a change of the primary before the next check.
-	LeaderPause = 50 * time.Millisecond
+	// PrimaryChangeWait is the longest wait for a change of the primary before the next check.
+	PrimaryChangeWait = 50 * time.Millisecond
 )
 
 // surveyTimeout bounds the wait for the servers' reports. A status request takes a slot, so a
@@ -27,8 +27,8 @@
 // survey asks the servers of the service for their status. For a server that does not answer in
 // time, but has recently answered other requests, its last known applied position is used instead.
 func (s *Service) survey(effect failover.Survey) []failover.Report {
-	s.replication <- struct{}{}
-	defer func() { <-s.replication }()
+	s.replicationLock <- struct{}{}
+	defer func() { <-s.replicationLock }()
 	var reports []failover.Report
 	var mutex sync.Mutex
 	var requests sync.WaitGroup
@@ -82,8 +82,8 @@
 // resumeReplication lets the replicas receive again. It never overlaps a survey: a late request
 // would resume a replica that the survey has paused.
 func (s *Service) resumeReplication() {
-	s.replication <- struct{}{}
-	defer func() { <-s.replication }()
+	s.replicationLock <- struct{}{}
+	defer func() { <-s.replicationLock }()
 	deadline := time.Now().Add(resumeTimeout)
 	var requests sync.WaitGroup
 	for _, entry := range s.backends.catalog.Current().ByService[s.Name] {
@@ -213,7 +213,7 @@
 	if !s.backends.isCurrent(target) {
 		return
 	}
-	if s.backends.Tenures == nil && s.Leadership.Confirm(target.ID, result.Position.Term) {
+	if s.backends.Tenures == nil && s.PrimaryView.Confirm(target.ID, result.Position.Term) {
 		s.backends.log.Write(eventlog.PrimaryProved, zap.String("by", "answer"), zap.String("service", s.Name),
 			zap.String("server", target.ID), zap.Stringer("position", result.Position))
 	}
@@ -254,9 +254,9 @@
 		s.proofRefresh.mutex.Unlock()
 		close(done)
 	}()
-	target := s.Leader(time.Now())
+	target := s.UsablePrimary(time.Now())
 	if target == nil {
-		time.Sleep(LeaderPause)
+		time.Sleep(PrimaryChangeWait)
 		return
 	}
 	requestDeadline := time.Now().Add(ProofTimeout)
@@ -264,7 +264,7 @@
 		requestDeadline = deadline
 	}
 	if s.probe(target, s.backends.acquireShared, requestDeadline) != probePrimary {
-		time.Sleep(LeaderPause)
+		time.Sleep(PrimaryChangeWait)
 	}
 }
 
--- a/internal/proxy/backends/tenures.go
+++ b/internal/proxy/backends/tenures.go
@@ -71,8 +71,8 @@
 	if view := b.Tenures.View(name); view.Open {
 		primary = view.Tenure.Primary
 	}
-	before := s.Leadership.Leader()
-	if s.Leadership.SetAgreed(primary) && before != "" {
+	before := s.PrimaryView.Primary()
+	if s.PrimaryView.SetAgreed(primary) && before != "" {
 		b.RefreshLeases()
 	}
 }
@@ -160,9 +160,9 @@
 // changes what this node knows.
 func (s *Service) RecordDenial(server string, now time.Time) bool {
 	if s.backends.Tenures == nil {
-		return s.Leadership.RecordDenialAndClear(server, now)
+		return s.PrimaryView.RecordDenialAndClear(server, now)
 	}
-	return s.Leadership.RecordDenial(server, now)
+	return s.PrimaryView.RecordDenial(server, now)
 }
 
 // observeTenure adds the state of the agreement to an observation.
@@ -173,7 +173,7 @@
 		observation.Closed = true
 		return
 	}
-	observation.Closed = !view.Open || s.Leadership.RecentlyDenied(view.Tenure.Primary, now)
+	observation.Closed = !view.Open || s.PrimaryView.RecentlyDenied(view.Tenure.Primary, now)
 	observation.Highest = view.Highest
 }
 
@@ -181,7 +181,7 @@
 // tenure, even if that is closed, or the current primary if the platform checks fencing tokens.
 func (s *Service) lastPrimary() string {
 	if s.backends.Tenures == nil {
-		return s.Leadership.Leader()
+		return s.PrimaryView.Primary()
 	}
 	if view := s.backends.Tenures.View(s.Name); view != nil {
 		return view.Tenure.Primary
--- a/internal/proxy/choose_test.go
+++ b/internal/proxy/choose_test.go
@@ -20,7 +20,7 @@
 			catalog.Server{ID: "s2", Service: "bookings", Address: "s2", Zone: "a", Slots: 4})
 		defer node.log.Close()
 		r := &run{
-			session: &session{node: node, bound: catalog.Route{TargetLatency: 800 * time.Millisecond}},
+			session: &session{node: node, route: catalog.Route{TargetLatency: 800 * time.Millisecond}},
 			service: node.Service("bookings"), arrived: time.Now(),
 		}
 		chosen := func() map[string]int {
--- a/internal/proxy/degraded.go
+++ b/internal/proxy/degraded.go
@@ -37,8 +37,8 @@
 	var answers network.ServerAnswers
 	n.Servers.Range(func(_, value any) bool {
 		stats := value.(*backends.Server).Stats
-		if heard := now.Add(-stats.SinceAnyAnswer(now)); heard.After(answers.LastAnswer) {
-			answers.LastAnswer = heard
+		if lastAnswer := now.Add(-stats.SinceAnyAnswer(now)); lastAnswer.After(answers.LastAnswer) {
+			answers.LastAnswer = lastAnswer
 		}
 		failures, _ := stats.Failures()
 		if failures > 0 || stats.Unanswered(now) > backends.SilenceTimeout {
--- a/internal/proxy/failover/choice.go
+++ b/internal/proxy/failover/choice.go
@@ -133,10 +133,10 @@
 	if m.observation.SynchronousReplicas == 0 {
 		return true
 	}
-	leader := m.lastPrimary(reports)
+	primary := m.lastPrimary(reports)
 	replicas := 0
 	for _, server := range m.observation.Servers {
-		if server.ID != leader {
+		if server.ID != primary {
 			replicas++
 		}
 	}
@@ -145,7 +145,7 @@
 		if report.Lost {
 			continue
 		}
-		if report.ID == leader {
+		if report.ID == primary {
 			if best.Received.Covers(report.Received) {
 				return true
 			}
--- a/internal/proxy/failover/events.go
+++ b/internal/proxy/failover/events.go
@@ -6,7 +6,8 @@
 	"dewknot/internal/base/era"
 )
 
-// Event is an observation of a service, or the result of an effect.
+// Event is an observation of a service, or the result of an effect. Recorded traces contain the
+// names of events, effects and their fields.
 type Event interface{ isEvent() }
 
 // Observed is the node's periodic observation of the service.
--- a/internal/proxy/failover/lease.go
+++ b/internal/proxy/failover/lease.go
@@ -65,7 +65,7 @@
 		}
 		m.markHeld(event.Lease.Epoch)
 		if acting {
-			return m.act(now)
+			return m.beginChange(now)
 		}
 		return nil
 	}
@@ -136,7 +136,7 @@
 		m.needsNewEpoch = false
 		m.markHeld(m.epoch)
 		if m.leaseRenewed || newEpoch {
-			return m.act(now)
+			return m.beginChange(now)
 		}
 		m.phase = Watching
 		effects := m.handleObserved(now)
--- a/internal/proxy/failover/machine.go
+++ b/internal/proxy/failover/machine.go
@@ -30,8 +30,8 @@
 	// contradictedPause is the pause after other nodes have reached a primary that this node does
 	// not reach.
 	contradictedPause = time.Second
-	// leaderlessDelay is how long a service may be without a known primary before one is promoted.
-	leaderlessDelay = 1500 * time.Millisecond
+	// noPrimaryDelay is how long a service may be without a known primary before one is promoted.
+	noPrimaryDelay = 1500 * time.Millisecond
 	// goneDelay is how long a primary that vanished from the directory, but still answers, stays
 	// the primary.
 	goneDelay = 2 * time.Second
@@ -79,17 +79,18 @@
 // String returns the phase's name for logs.
 func (p Phase) String() string { return phaseNames[p] }
 
-// Observation is what the node knows of the service.
+// Observation is what the node knows of the service. Recorded traces contain the field names, in
+// which the primary is called the leader.
 type Observation struct {
 	// Leader is the primary in this node's view, or "" if none is known.
 	Leader string
-	// LeaderDown is set if the leader certainly does not answer this node.
+	// LeaderDown is set if the primary certainly does not answer this node.
 	LeaderDown bool
-	// LeaderDraining is set if the leader has announced that it is leaving, LeaderGone if it has
+	// LeaderDraining is set if the primary has announced that it is leaving, LeaderGone if it has
 	// vanished from the directory.
 	LeaderDraining bool
 	LeaderGone     bool
-	// LeaderAway is set if work of some route may not go to the leader's region.
+	// LeaderAway is set if work of some route may not go to the primary's region.
 	LeaderAway bool `json:",omitempty"`
 	// Servers are all servers of the service known to the node.
 	Servers []Server
@@ -249,7 +250,7 @@
 	case m.usesTenures && obs.Closed && !obs.LeaderDown:
 		return len(obs.Servers) > 0, closedDelay
 	case obs.Leader == "":
-		return len(obs.Servers) > 0, leaderlessDelay
+		return len(obs.Servers) > 0, noPrimaryDelay
 	case obs.LeaderDown, obs.LeaderDraining:
 		return m.hasOtherServer(), 0
 	case obs.LeaderGone:
@@ -328,7 +329,7 @@
 		m.phase = Corroborating
 		return []Effect{Corroborate{Server: m.observation.Leader, Superiors: m.superiors()}}
 	}
-	return m.act(now)
+	return m.beginChange(now)
 }
 
 // mustCorroborate reports whether other nodes are asked first, either whether they reach the
@@ -349,7 +350,8 @@
 	return m.resumeReplicas()
 }
 
-func (m *Machine) act(now time.Time) []Effect {
+// beginChange starts a change that is needed. A node that does not hold the lease reads it first.
+func (m *Machine) beginChange(now time.Time) []Effect {
 	if m.holdsLease && m.observation.SynchronousReplicas > 0 && !m.leaseRenewed {
 		return m.renewLease()
 	}
@@ -368,11 +370,11 @@
 
 // survey asks the servers for their reports; synchronous replicas stop receiving.
 func (m *Machine) survey() Survey {
-	return Survey{Except: m.downLeader(), Hold: m.observation.SynchronousReplicas > 0}
+	return Survey{Except: m.downPrimary(), Hold: m.observation.SynchronousReplicas > 0}
 }
 
-// downLeader returns the leader if it is down, so that a survey leaves it out.
-func (m *Machine) downLeader() string {
+// downPrimary returns the primary if it is down, so that a survey leaves it out.
+func (m *Machine) downPrimary() string {
 	if m.observation.LeaderDown {
 		return m.observation.Leader
 	}
--- a/internal/proxy/failover/machine_test.go
+++ b/internal/proxy/failover/machine_test.go
@@ -318,9 +318,9 @@
 	must.Eq(t, []Effect{LeaderFound{ID: "b"}}, machine.Step(at(150), found))
 }
 
-func synchronousObservation(leaderDown bool) Observation {
+func synchronousObservation(primaryDown bool) Observation {
 	observation := healthyObservation()
-	observation.LeaderDown, observation.LeaderDraining, observation.SynchronousReplicas = leaderDown, !leaderDown, 1
+	observation.LeaderDown, observation.LeaderDraining, observation.SynchronousReplicas = primaryDown, !primaryDown, 1
 	return observation
 }
 
--- a/internal/proxy/failover/tenure.go
+++ b/internal/proxy/failover/tenure.go
@@ -349,7 +349,7 @@
 	case Accepted:
 		m.resendsLeft = 0
 		m.phase = Settling
-		return []Effect{m.awaitLead(settleTimeout)}
+		return []Effect{m.awaitPrimaryRole(settleTimeout)}
 	case Unanswered:
 		m.orderUnanswered = true
 		timeout := resendPause
@@ -357,7 +357,7 @@
 			timeout = unansweredTimeout
 		}
 		m.phase = Settling
-		return []Effect{m.awaitLead(timeout)}
+		return []Effect{m.awaitPrimaryRole(timeout)}
 	case NotSent:
 		return m.giveUp(now)
 	default:
@@ -371,9 +371,9 @@
 	}
 }
 
-// awaitLead waits for the ordered server to become the primary. If the server has claimed the role
-// in a term that does not prove it, only a later term counts.
-func (m *Machine) awaitLead(timeout time.Duration) AwaitLead {
+// awaitPrimaryRole waits for the ordered server to become the primary. If the server has claimed
+// the role in a term that does not prove it, only a later term counts.
+func (m *Machine) awaitPrimaryRole(timeout time.Duration) AwaitLead {
 	least := max(m.minTerm(m.target), m.newestTerm())
 	if report := m.reportOf(m.target); report != nil && report.Primary && !m.claimsPrimaryRole(m.target) {
 		least = max(least, report.Term+1)
--- a/internal/proxy/failover/witness.go
+++ b/internal/proxy/failover/witness.go
@@ -71,7 +71,7 @@
 		m.confirmedDown, m.confirmedAt = m.observation.Leader, now
 	}
 	if m.holdsLease || !event.HolderAnswered || m.holderAlive {
-		return m.act(now)
+		return m.beginChange(now)
 	}
 	m.holderAlive = true
 	return nil
--- a/internal/proxy/headroom.go
+++ b/internal/proxy/headroom.go
@@ -41,8 +41,8 @@
 	replicaWait time.Duration
 }
 
-// urgentWork describes the statement for decisions about scarce resources.
-func (r *run) urgentWork() urgency.Work {
+// currentWork returns the urgency of the statement in its present state.
+func (r *run) currentWork() urgency.Work {
 	work := r.work
 	work.Open = r.session.transaction != nil && r.session.transaction.lease != nil
 	work.Attempt = r.repeatAttempts
@@ -52,16 +52,16 @@
 // remainingSlotWait returns how long new work may still wait for a slot.
 func (r *run) remainingSlotWait(now time.Time) time.Duration {
 	if r.queueDeadline.IsZero() {
-		return time.Duration(slotWaitShare * float64(r.session.bound.TargetLatency))
+		return time.Duration(slotWaitShare * float64(r.session.route.TargetLatency))
 	}
 	return r.queueDeadline.Sub(now)
 }
 
-// passesEarlyCheck reports whether new work is sent to a server, given the load report of the
+// passesPrecheck reports whether new work is sent to a server, given the load report of the
 // server's owner.
-func (r *run) passesEarlyCheck(target *backends.Server, class admission.Class) bool {
+func (r *run) passesPrecheck(target *backends.Server, class admission.Class) bool {
 	now := time.Now()
-	work := r.urgentWork()
+	work := r.currentWork()
 	load, age := target.ReportedLoad(class, work.Level, now)
 	verdict := admission.Precheck(&work, now, r.remainingSlotWait(now), load, rand.Float64())
 	if verdict == admission.Send {
@@ -97,10 +97,10 @@
 // better than to use the primary that was chosen. It reports whether it has waited.
 func (r *run) awaitReplica(chosen *backends.Server, minimum freshness.MinimumPosition) bool {
 	now := time.Now()
-	if chosen.ID != r.service.Leadership.Leader() || chosen.Stats.Avoided(now) {
+	if chosen.ID != r.service.PrimaryView.Primary() || chosen.Stats.Avoided(now) {
 		return false
 	}
-	work := r.urgentWork()
+	work := r.currentWork()
 	options := freshness.ReadOptions{
 		Allowed: r.remainingSlotWait(now),
 		Left:    min(work.Objective.Sub(now), work.Deadline.Sub(now)) - chosen.Stats.Latency(now),
@@ -108,7 +108,7 @@
 	options.PrimaryWait, options.PrimaryKnown = chosen.ReportedWait(admission.Anywhere, work.Level, now)
 	if !options.PrimaryKnown {
 		options.PrimaryWait = chosen.Gate.Wait(admission.Request{
-			Class: admission.Anywhere, Priority: r.session.bound.Priority, Arrived: r.arrived,
+			Class: admission.Anywhere, Priority: r.session.route.Priority, Arrived: r.arrived,
 		})
 		options.PrimaryKnown = options.PrimaryWait > 0
 	}
--- a/internal/proxy/headroom_test.go
+++ b/internal/proxy/headroom_test.go
@@ -35,7 +35,7 @@
 	node := newTestNode(catalog.Server{ID: "s1", Service: "bookings", Address: "s1", Zone: "b"})
 	target := node.Server("s1")
 	now := time.Now()
-	s := &session{node: node, bound: catalog.Route{
+	s := &session{node: node, route: catalog.Route{
 		Name: "lookups", Service: "bookings", Priority: priority, TargetLatency: 500 * time.Millisecond,
 		Freshness: catalog.BoundedStaleness, MaxStaleness: time.Second,
 		StatementTimeout: 2*time.Second + answerMargin,
@@ -47,7 +47,7 @@
 func countSent(r *run, target *backends.Server, class admission.Class) int {
 	count := 0
 	for range 1000 {
-		if r.passesEarlyCheck(target, class) {
+		if r.passesPrecheck(target, class) {
 			count++
 		}
 	}
--- a/internal/proxy/leadership/primary_view.go
+++ b/internal/proxy/leadership/primary_view.go
@@ -18,9 +18,9 @@
 
 // PrimaryView is a node's view of one service's primary. It is safe for concurrent use.
 type PrimaryView struct {
-	mutex  sync.Mutex
-	leader string
-	term   uint64
+	mutex   sync.Mutex
+	primary string
+	term    uint64
 	// announcedRevision is the directory's revision of the newest announcement.
 	announcedRevision era.Revision
 	deniedAt          map[string]time.Time
@@ -32,11 +32,11 @@
 	return &PrimaryView{deniedAt: map[string]time.Time{}, changed: make(chan struct{})}
 }
 
-// Leader returns the primary in this node's view, or "" if none is known.
-func (v *PrimaryView) Leader() string {
+// Primary returns the primary in this node's view, or "" if none is known.
+func (v *PrimaryView) Primary() string {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
-	return v.leader
+	return v.primary
 }
 
 // Term returns the term of the last confirmation.
@@ -86,7 +86,7 @@
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	v.deniedAt[id] = now
-	if v.leader != id {
+	if v.primary != id {
 		return false
 	}
 	return v.set("")
@@ -121,10 +121,10 @@
 }
 
 func (v *PrimaryView) set(id string) bool {
-	if v.leader == id {
+	if v.primary == id {
 		return false
 	}
-	v.leader = id
+	v.primary = id
 	close(v.changed)
 	v.changed = make(chan struct{})
 	return true
--- a/internal/proxy/loadreport/loadreport.go
+++ b/internal/proxy/loadreport/loadreport.go
@@ -16,8 +16,8 @@
 // Report is an owner's load report of a server.
 type Report struct {
 	// Incarnation identifies the incarnation of the owner's process. A link leads to one
-	// incarnation, so the receiving node sets this field and it is not sent. Sequence increases with
-	// each report of an incarnation.
+	// incarnation, so the receiving node sets this field and it is not sent. Sequence increases
+	// with each report of an incarnation.
 	Incarnation uint64 `msgpack:"-"`
 	Sequence    uint64
 	// Waits is the expected wait of new work at each level in milliseconds, for work that other
@@ -32,16 +32,17 @@
 	// Behind is how far behind the primary the server was, at least, when it last reported its
 	// position, in milliseconds; 0 if nothing recent shows a lag.
 	Behind uint16
-	// OwnerDelay is the time from the owner's receipt of the request to the report, in milliseconds.
+	// OwnerDelay is the time from the owner's receipt of the request to the report, in
+	// milliseconds.
 	OwnerDelay uint16
 }
 
 const (
 	// maxWait is the longest wait in a report.
 	maxWait = 60 * time.Second
-	// MaxAge is the age at which a report expires. By then the work that it counts has ended or been
-	// rejected: new work waits for a slot for at most a fifth of its objective, which is 100 to 400
-	// ms for usual objectives of 0.5 to 2 s.
+	// MaxAge is the age at which a report expires. By then the work that it counts has ended or
+	// been rejected: new work waits for a slot for at most a fifth of its objective, which is
+	// 100 to 400 ms for usual objectives of 0.5 to 2 s.
 	MaxAge = 400 * time.Millisecond
 )
 
--- a/internal/proxy/metrics.go
+++ b/internal/proxy/metrics.go
@@ -134,7 +134,7 @@
 
 // countCommand counts a command and, for a read that was served, the role of the server.
 func (m *metrics) countCommand(s *session, received *command.Command, reply *Reply, took time.Duration) {
-	level := freshnessNames[s.bound.Freshness]
+	level := freshnessNames[s.route.Freshness]
 	outcome := "served"
 	if reply.Failure != nil {
 		outcome = reply.Failure.Kind.String()
--- a/internal/proxy/objectstore/follow.go
+++ b/internal/proxy/objectstore/follow.go
@@ -90,8 +90,8 @@
 	// Wait returns the longest time that a watch of the store may wait for changes.
 	Wait func() time.Duration
 	Sink Sink
-	// OnAnswer, if not nil, is called after each answer of the store or of a reader. An answer of the
-	// store began at the given time; for an answer of a reader it is the start of the call.
+	// OnAnswer, if not nil, is called after each answer of the store or of a reader. For the store,
+	// began is when the answer began, for a reader the start of the call.
 	OnAnswer func(began time.Time)
 }
 
@@ -103,11 +103,13 @@
 
 type follower struct {
 	FollowConfig
-	started   time.Time
-	listed    bool
-	revision  era.Revision
+	started  time.Time
+	listed   bool
+	revision era.Revision
+	// answering is set while the store, or a reader in its place, answers.
 	answering bool
-	delay     time.Duration
+	// delay is the current delay between retries.
+	delay time.Duration
 	// peersQueriedAt is when other nodes were last queried.
 	peersQueriedAt time.Time
 	// usesReaders is set once a reader has answered in place of the store.
--- a/internal/proxy/quorum/member.go
+++ b/internal/proxy/quorum/member.go
@@ -76,9 +76,9 @@
 	lease      *Lease
 	sent       []renewal
 	pacer
-	// heardAt is the time of the voter's last answer, initially the time the table was set.
-	heardAt   time.Time
-	contacted bool
+	// lastAnswerAt is initially the time the table was set.
+	lastAnswerAt time.Time
+	contacted    bool
 	// recoveringAge is the reported process age of a voter without state, zero if it has state.
 	recoveringAge time.Duration
 	// unable is set while the voter's last answer was that it does not take part.
@@ -129,7 +129,7 @@
 	n.table = table
 	n.peers = nil
 	for _, entry := range table.Entries {
-		p := &peer{entry: entry, records: map[string]Record{}, lease: &Lease{}, heardAt: now}
+		p := &peer{entry: entry, records: map[string]Record{}, lease: &Lease{}, lastAnswerAt: now}
 		p.rtt = estimators[entry.Name]
 		n.peers = append(n.peers, p)
 	}
@@ -227,7 +227,7 @@
 	case Push:
 		return n.handlePush(now, from, p, m)
 	case Unable:
-		p.heardAt, p.contacted = now, true
+		p.lastAnswerAt, p.contacted = now, true
 		if request := p.renewalFor(m.Sequence); request != nil {
 			p.answerReceived(now, request.sentAt, false)
 		}
@@ -250,7 +250,7 @@
 }
 
 func (n *Member) handleGrant(now time.Time, from string, p *peer, m *Message) ([]Envelope, []string) {
-	p.heardAt, p.contacted, p.unable = now, true, false
+	p.lastAnswerAt, p.contacted, p.unable = now, true, false
 	request := p.renewalFor(m.Sequence)
 	if request == nil {
 		return nil, nil
@@ -406,7 +406,7 @@
 func (n *Member) SilentVoters(now time.Time, timeout, firstWait time.Duration) []string {
 	var silent []string
 	for _, p := range n.peers {
-		elapsed := now.Sub(p.heardAt) - p.rtt.excessDelay()
+		elapsed := now.Sub(p.lastAnswerAt) - p.rtt.excessDelay()
 		if p.entry.Name != n.name && (elapsed >= timeout || (!p.contacted && elapsed >= firstWait)) {
 			silent = append(silent, p.entry.Name)
 		}
@@ -420,7 +420,7 @@
 func (n *Member) ReachableVoters(now time.Time, window time.Duration) int {
 	count := 0
 	for _, p := range n.peers {
-		if p.entry.Name == n.name || now.Sub(p.heardAt)-p.rtt.excessDelay() < window {
+		if p.entry.Name == n.name || now.Sub(p.lastAnswerAt)-p.rtt.excessDelay() < window {
 			count++
 		}
 	}
@@ -432,7 +432,7 @@
 func (n *Member) VotersWithoutState(now time.Time, window time.Duration) int {
 	count := 0
 	for _, p := range n.peers {
-		if p.entry.Name != n.name && p.recoveringAge > 0 && now.Sub(p.heardAt) < window {
+		if p.entry.Name != n.name && p.recoveringAge > 0 && now.Sub(p.lastAnswerAt) < window {
 			count++
 		}
 	}
--- a/internal/proxy/quorum/message.go
+++ b/internal/proxy/quorum/message.go
@@ -93,7 +93,7 @@
 	Ballot   uint64
 	Primary  string
 	Ordering bool
-	// Term is, with Open, the term in which the primary leads.
+	// Term is, with Open, the primary's log term.
 	Term uint64
 	// Unconfirmed is set, with Open, if an order for the primary may not have been answered.
 	// UnconfirmedFor is, with Promised, how long the unconfirmed order in the record may still be
--- a/internal/proxy/quorum/outbox.go
+++ b/internal/proxy/quorum/outbox.go
@@ -213,8 +213,8 @@
 	return uint64(max(0, now.Sub(v.started))/time.Millisecond) + 1
 }
 
-// noteRequest records a member's request and the revision that it reports to know.
-func (v *Voter) noteRequest(now time.Time, from string, m *Message) (*grant, []Envelope) {
+// recordRequest records a member's request and the revision that it reports to know.
+func (v *Voter) recordRequest(now time.Time, from string, m *Message) (*grant, []Envelope) {
 	g := v.grants[m.From]
 	if g == nil {
 		g = &grant{incarnation: m.Incarnation}
--- a/internal/proxy/quorum/pacer_test.go
+++ b/internal/proxy/quorum/pacer_test.go
@@ -46,7 +46,7 @@
 // TestRequestTimeoutFollowsRTT guards against repeating a request, or reporting a voter as silent,
 // before an answer can arrive.
 func TestRequestTimeoutFollowsRTT(t *testing.T) {
-	p := &peer{entry: VoterEntry{Name: "v"}, heardAt: at(0), contacted: true}
+	p := &peer{entry: VoterEntry{Name: "v"}, lastAnswerAt: at(0), contacted: true}
 	for i := range 20 {
 		p.requestSent(at(1000 * i))
 		p.answerReceived(at(1000*i+500), at(1000*i), true)
@@ -55,7 +55,7 @@
 	must.True(t, p.due(RenewEager).After(at(20_500)))
 	must.False(t, p.due(RenewEager).After(at(20_000).Add(RenewInterval)))
 	n := &Member{peers: []*peer{p}}
-	p.heardAt = at(20_000)
+	p.lastAnswerAt = at(20_000)
 	must.SliceEmpty(t, n.SilentVoters(at(21_500), 1500*time.Millisecond, time.Second))
 	must.Len(t, 1, n.SilentVoters(at(23_000), 1500*time.Millisecond, time.Second))
 }
--- a/internal/proxy/quorum/quorum.go
+++ b/internal/proxy/quorum/quorum.go
@@ -101,8 +101,8 @@
 	Ordering bool   `json:"ordering,omitempty"`
 	// Open is set while the voter grants leases for the chosen tenure.
 	Open bool `json:"open,omitempty"`
-	// Term is the highest log term in which a primary of an open tenure led. A server that
-	// claims to lead in an older term has been replaced.
+	// Term is the highest log term of a primary of an open tenure. A server that claims to be
+	// the primary in an older term has been replaced.
 	Term uint64 `json:"term,omitempty"`
 	// Unconfirmed is the server of an order that may not have been answered. The order may be
 	// carried out again within UnconfirmedWindow of the opening of its tenure.
--- a/internal/proxy/quorum/sealing.go
+++ b/internal/proxy/quorum/sealing.go
@@ -15,10 +15,12 @@
 type sealedState struct {
 	incarnation uint64
 	revision    uint64
-	normal      bool
-	complete    bool
-	age         time.Duration
-	records     map[string]Record
+	// normal is set if the voter has its state, complete once all its records have arrived.
+	normal   bool
+	complete bool
+	// age is the age of the voter's process.
+	age     time.Duration
+	records map[string]Record
 	// awaitedPages is how many more pages may answer the last request.
 	awaitedPages int
 }
--- a/internal/proxy/quorum/voter.go
+++ b/internal/proxy/quorum/voter.go
@@ -183,7 +183,7 @@
 // renew grants leases of all open tenures once the member knows the current records. An answer
 // with records is queued; other voters may need the records to recover and get it immediately.
 func (v *Voter) renew(now time.Time, from string, m *Message) []Envelope {
-	g, out := v.noteRequest(now, from, m)
+	g, out := v.recordRequest(now, from, m)
 	if g.requestRevision < v.revision && v.table.VoterEntry(m.From) == nil {
 		v.enqueue(m.From, g)
 		return append(out, v.sendQueued(now)...)
--- a/internal/proxy/quota/levels.go
+++ b/internal/proxy/quota/levels.go
@@ -128,14 +128,14 @@
 
 // hasDemand reports whether a level has had demand recently.
 func (c *claims) hasDemand(now time.Time, level int) bool {
-	return c.levelDemand[level].now(now) >= minDemand
+	return c.levelDemand[level].current(now) >= minDemand
 }
 
 // scarce reports whether demand exceeds the rate at which tokens are issued.
 func (c *claims) scarce(now time.Time, s supply) bool {
-	sum := c.unlevelledDemand.now(now)
+	sum := c.unlevelledDemand.current(now)
 	for level := range c.levelDemand {
-		sum += c.levelDemand[level].now(now)
+		sum += c.levelDemand[level].current(now)
 	}
 	return sum > s.rate
 }
@@ -149,7 +149,7 @@
 	sum := 0.0
 	for l := range level {
 		if c.hasDemand(now, l) {
-			sum += c.levelDemand[l].now(now)
+			sum += c.levelDemand[l].current(now)
 		}
 	}
 	return sum
@@ -206,7 +206,7 @@
 	wait := (1 - s.balance) / s.rate
 	if demand := c.moreUrgentDemand(now, level, s); demand > 0 {
 		remaining := max(s.rate-demand, guaranteedShare*s.rate)
-		wait = max(wait, c.levelDemand[level].now(now)/remaining/remaining)
+		wait = max(wait, c.levelDemand[level].current(now)/remaining/remaining)
 	}
 	return time.Duration(min(wait, maxRetryAfter.Seconds()) * float64(time.Second)), true
 }
--- a/internal/proxy/quota/throttling.go
+++ b/internal/proxy/quota/throttling.go
@@ -58,7 +58,7 @@
 	t.reported = true
 	event := ThrottleEvent{Tenant: tenant, Level: t.level, Began: true, IssueRate: s.rate}
 	for l := range event.Requested {
-		event.Requested[l] = acc.claims.levelDemand[l].now(now)
+		event.Requested[l] = acc.claims.levelDemand[l].current(now)
 	}
 	a.events = append(a.events, event)
 }
--- a/internal/proxy/quota/tokens.go
+++ b/internal/proxy/quota/tokens.go
@@ -175,11 +175,11 @@
 	if count == 0 {
 		return
 	}
-	d.perSecond = d.now(now) + float64(count)/demandWindow.Seconds()
+	d.perSecond = d.current(now) + float64(count)/demandWindow.Seconds()
 	d.updated = now
 }
 
-func (d *demand) now(now time.Time) float64 {
+func (d *demand) current(now time.Time) float64 {
 	if d.perSecond == 0 {
 		return 0
 	}
@@ -188,5 +188,5 @@
 
 // expected returns how many tokens are expected to be used within a token's lifetime.
 func (d *demand) expected(now time.Time, ttl time.Duration) uint32 {
-	return uint32(d.now(now) * ttl.Seconds())
+	return uint32(d.current(now) * ttl.Seconds())
 }
--- a/internal/proxy/quotas.go
+++ b/internal/proxy/quotas.go
@@ -193,7 +193,7 @@
 	if n.quotaOf(tenant) == nil {
 		return Reply{}, true
 	}
-	deadline := r.arrived.Add(time.Duration(tokenWaitShare * float64(r.session.bound.TargetLatency)))
+	deadline := r.arrived.Add(time.Duration(tokenWaitShare * float64(r.session.route.TargetLatency)))
 	if r.deadline.Before(deadline) {
 		deadline = r.deadline
 	}
--- a/internal/proxy/read.go
+++ b/internal/proxy/read.go
@@ -171,7 +171,7 @@
 		if r.awaitReplica(target, minimum) {
 			continue
 		}
-		if !r.passesEarlyCheck(target, admission.Anywhere) {
+		if !r.passesPrecheck(target, admission.Anywhere) {
 			if r.tried[target.ID] || !r.otherServerFits(target, minimum) {
 				break
 			}
@@ -227,13 +227,13 @@
 // minimum returns the minimum position of the read. The staleness counts from the arrival, so the
 // position doesn't grow while the read waits for a replica.
 func (r *run) minimum() (freshness.MinimumPosition, bool) {
-	maxAge := r.session.bound.MaxStaleness - stalenessMargin
+	maxAge := r.session.route.MaxStaleness - stalenessMargin
 	now := time.Now()
 	if age := now.Sub(r.service.Proofs.Newest().At); age > time.Duration(proofRefreshShare*float64(maxAge)) {
 		go r.service.RefreshProof(now.Add(backends.ProofTimeout))
 	}
 	var lastCommit freshness.OwnCommit
-	if r.session.bound.Freshness == catalog.ReadYourWrites {
+	if r.session.route.Freshness == catalog.ReadYourWrites {
 		lastCommit = r.session.lastCommit
 	}
 	return r.service.Proofs.MinimumPosition(r.arrived, maxAge, lastCommit)
@@ -243,7 +243,7 @@
 func (r *run) choose(minimum freshness.MinimumPosition) *backends.Server {
 	now := time.Now()
 	node := r.session.node
-	leader := r.service.Leadership.Leader()
+	primary := r.service.PrimaryView.Primary()
 	var servers []*backends.Server
 	var candidates []routing.Candidate
 	for _, entry := range node.catalog.Current().ByService[r.service.Name] {
@@ -255,7 +255,7 @@
 		candidates = append(candidates, routing.Candidate{
 			SameZone:   entry.Zone == node.options.Zone,
 			SameRegion: node.options.Regions[entry.Zone] == node.options.Regions[node.options.Zone],
-			Primary:    entry.ID == leader,
+			Primary:    entry.ID == primary,
 			Latency:    target.Stats.Latency(now), RTT: target.Stats.RTT(),
 			InFlight: target.Load(), Slots: entry.Slots, Wait: r.reportedWait(target, now),
 			Covers:  target.Stats.Covers(minimum.Position, minimum.Since, now),
@@ -263,7 +263,7 @@
 			Leaving: entry.Leaving(), Tried: r.tried[entry.ID],
 		})
 	}
-	objective := r.arrived.Add(r.session.bound.TargetLatency)
+	objective := r.arrived.Add(r.session.route.TargetLatency)
 	chosen := routing.Choose(candidates, objective.Sub(now), rand.IntN)
 	if chosen < 0 {
 		return nil
--- a/internal/proxy/remote/protocol.go
+++ b/internal/proxy/remote/protocol.go
@@ -115,6 +115,7 @@
 	return nil
 }
 
+// empty is the body of frames without content.
 type empty struct{}
 
 // Errors of requests to an owner. After either, the outcome of the operations is in doubt.
--- a/internal/proxy/report.go
+++ b/internal/proxy/report.go
@@ -42,9 +42,9 @@
 	}
 	fields := []zap.Field{
 		zap.String("request", received.RequestID), zap.Stringer("command", received.Kind),
-		zap.String("database", s.database), zap.String("route", s.bound.Name),
-		zap.String("service", s.bound.Service), zap.String("tenant", string(s.principal)),
-		zap.String("freshness", freshnessNames[s.bound.Freshness]), zap.Bool("writes", s.writes(received)),
+		zap.String("database", s.database), zap.String("route", s.route.Name),
+		zap.String("service", s.route.Service), zap.String("tenant", string(s.principal)),
+		zap.String("freshness", freshnessNames[s.route.Freshness]), zap.Bool("writes", s.writes(received)),
 		zap.Uint64("configuration", s.node.configurationVersion()), zap.Duration("took", now.Sub(arrived)),
 		zap.Int("attempts", s.record.attempts), zap.String("server", s.record.server),
 		zap.Bool("on_primary", s.record.primary),
@@ -64,7 +64,7 @@
 		fields = append(fields, zap.Stringer("outcome", reply.Failure.Kind),
 			zap.String("detail", reply.Failure.FullDetail()),
 			zap.Bool("promised_not_kept", reply.Failure.Kind.NotRun()))
-		if leases, usesTenures := s.node.LeaseStatus(s.bound.Service, now); usesTenures {
+		if leases, usesTenures := s.node.LeaseStatus(s.route.Service, now); usesTenures {
 			fields = append(fields, zap.Any("leases", leases))
 		}
 	}
--- a/internal/proxy/retryafter.go
+++ b/internal/proxy/retryafter.go
@@ -42,18 +42,18 @@
 func (r *run) needsPrimary() bool {
 	t := r.session.transaction
 	if t != nil {
-		return !t.readOnly || r.session.bound.Freshness == catalog.Current
+		return !t.readOnly || r.session.route.Freshness == catalog.Current
 	}
-	return r.statement.Writes || r.session.bound.Freshness == catalog.Current
+	return r.statement.Writes || r.session.route.Freshness == catalog.Current
 }
 
 // expectedWait returns how long new work of the session is expected to wait for a slot on the
 // server that has one first.
 func (r *run) expectedWait(now time.Time) time.Duration {
-	request := admission.Request{Class: admission.OnlyHere, Priority: r.session.bound.Priority, Arrived: now}
+	request := admission.Request{Class: admission.OnlyHere, Priority: r.session.route.Priority, Arrived: now}
 	if r.needsPrimary() {
-		if leader := r.service.Leader(now); leader != nil {
-			return leader.ExpectedWait(request, now)
+		if primary := r.service.UsablePrimary(now); primary != nil {
+			return primary.ExpectedWait(request, now)
 		}
 		return r.service.OutageLeft(now)
 	}
@@ -66,7 +66,7 @@
 		}
 		// A replica that lags more than the route's staleness bound can't run a read before it has
 		// caught up.
-		catchUp := target.Stats.Lag(now) - r.session.bound.MaxStaleness
+		catchUp := target.Stats.Lag(now) - r.session.route.MaxStaleness
 		shortest = min(shortest, max(target.ExpectedWait(request, now), catchUp))
 	}
 	return shortest
@@ -75,5 +75,5 @@
 // cannotFinishInTime reports whether a wait for a slot ends after the work's latency objective.
 // Such work is rejected at once.
 func (r *run) cannotFinishInTime(wait time.Duration) bool {
-	return time.Now().Add(wait).After(r.arrived.Add(r.session.bound.TargetLatency))
+	return time.Now().Add(wait).After(r.arrived.Add(r.session.route.TargetLatency))
 }
--- a/internal/proxy/retryafter_test.go
+++ b/internal/proxy/retryafter_test.go
@@ -33,7 +33,7 @@
 func TestWorkThatCannotFinishInTimeIsRejected(t *testing.T) {
 	bubbletest.Test(t, func(t *testing.T) {
 		r := &run{session: &session{}, arrived: time.Now()}
-		r.session.bound.TargetLatency = time.Second
+		r.session.route.TargetLatency = time.Second
 		must.False(t, r.cannotFinishInTime(900*time.Millisecond))
 		time.Sleep(200 * time.Millisecond)
 		must.True(t, r.cannotFinishInTime(900*time.Millisecond))
--- a/internal/proxy/routing/routing.go
+++ b/internal/proxy/routing/routing.go
@@ -164,11 +164,11 @@
 
 // pick draws one of the candidates in among, weighted by their slots.
 func pick(candidates []Candidate, among []int, draw func(n int) int) int {
-	all := 0
+	total := 0
 	for _, i := range among {
-		all += candidates[i].slots()
+		total += candidates[i].slots()
 	}
-	drawn := draw(all)
+	drawn := draw(total)
 	for _, i := range among {
 		if drawn -= candidates[i].slots(); drawn < 0 {
 			return i
--- a/internal/proxy/run.go
+++ b/internal/proxy/run.go
@@ -70,14 +70,14 @@
 }
 
 func (s *session) newRun(statement *command.Statement, arrived time.Time) *run {
-	service := s.node.Service(s.bound.Service)
+	service := s.node.Service(s.route.Service)
 	service.MarkUsed(arrived)
-	deadline := arrived.Add(s.bound.StatementTimeout - answerMargin)
+	deadline := arrived.Add(s.route.StatementTimeout - answerMargin)
 	return &run{
 		session: s, service: service, statement: statement, arrived: arrived, deadline: deadline,
 		work: urgency.Work{
-			Level: urgency.Of(s.bound.Priority), Arrived: arrived,
-			Objective: arrived.Add(s.bound.TargetLatency), Deadline: deadline,
+			Level: urgency.Of(s.route.Priority), Arrived: arrived,
+			Objective: arrived.Add(s.route.TargetLatency), Deadline: deadline,
 		},
 	}
 }
@@ -105,7 +105,7 @@
 // connection leads through another node, the wait happens there.
 func (r *run) acquireSlot(target *backends.Server, lease *upstream.Lease, class admission.Class) bool {
 	if r.queueDeadline.IsZero() {
-		r.queueDeadline = time.Now().Add(time.Duration(slotWaitShare * float64(r.session.bound.TargetLatency)))
+		r.queueDeadline = time.Now().Add(time.Duration(slotWaitShare * float64(r.session.route.TargetLatency)))
 	}
 	deadline := r.queueDeadline
 	if class == admission.Continuation || r.deadline.Before(deadline) {
@@ -113,7 +113,7 @@
 	}
 	now := time.Now()
 	request := admission.Request{
-		Class: class, Priority: r.session.bound.Priority, Arrived: r.arrived, Late: r.late(now),
+		Class: class, Priority: r.session.route.Priority, Arrived: r.arrived, Late: r.late(now),
 		Principal: string(r.session.principal), HasConnection: true,
 	}
 	if !lease.Remote() {
@@ -132,7 +132,7 @@
 			Class: class, Priority: request.Priority, Age: age, Wait: deadline.Sub(now),
 		})
 	}
-	target.Remote.Add(1)
+	target.RemoteWork.Add(1)
 	return true
 }
 
@@ -144,7 +144,7 @@
 
 // late reports whether the latency objective has passed.
 func (r *run) late(now time.Time) bool {
-	work := r.urgentWork()
+	work := r.currentWork()
 	return work.Late(now)
 }
 
@@ -153,10 +153,10 @@
 	target *backends.Server, lease *upstream.Lease, class admission.Class,
 	batch *upstream.Batch, result *upstream.Result,
 ) {
-	r.session.record.addAttempt(target, target.ID == r.service.Leadership.Leader())
+	r.session.record.addAttempt(target, target.ID == r.service.PrimaryView.Primary())
 	r.session.node.metrics.countNotRun(result)
 	if lease.Remote() {
-		target.Remote.Add(-1)
+		target.RemoteWork.Add(-1)
 		return
 	}
 	target.Gate.Leave(class, backends.AdmissionResult(batch, result), time.Now())
@@ -210,12 +210,12 @@
 
 // awaitPrimary waits a moment for a primary to become known.
 func (r *run) awaitPrimary() {
-	changed := r.service.Leadership.Changed()
-	if r.service.Leader(time.Now()) != nil {
+	changed := r.service.PrimaryView.Changed()
+	if r.service.UsablePrimary(time.Now()) != nil {
 		r.pause(backends.BusyPause)
 		return
 	}
-	wait := min(backends.LeaderPause, time.Until(r.deadline))
+	wait := min(backends.PrimaryChangeWait, time.Until(r.deadline))
 	if wait <= 0 {
 		return
 	}
@@ -232,7 +232,7 @@
 func (r *run) acquirePrimary() (*backends.Server, *upstream.Lease, failure.Kind) {
 	for time.Now().Before(r.deadline) && !r.session.node.impaired() {
 		now := time.Now()
-		target := r.service.Leader(now)
+		target := r.service.UsablePrimary(now)
 		if !r.servable() || (target != nil && !r.inHomes(target)) {
 			return nil, nil, r.unservableReason
 		}
@@ -249,7 +249,7 @@
 			continue
 		}
 		r.tenure = tenure
-		if !r.passesEarlyCheck(target, admission.OnlyHere) {
+		if !r.passesPrecheck(target, admission.OnlyHere) {
 			return nil, nil, failure.Overloaded
 		}
 		lease, err := r.session.node.Acquire(target, r.session.principal, r.connectionDeadline())
@@ -301,7 +301,7 @@
 	if target.Pool.Warming(now) {
 		share = warmingWaitShare
 	}
-	return now.Sub(r.arrived) >= time.Duration(share*float64(r.session.bound.TargetLatency))
+	return now.Sub(r.arrived) >= time.Duration(share*float64(r.session.route.TargetLatency))
 }
 
 // queueTimedOut reports whether new work has waited for a slot as long as it may.
--- a/internal/proxy/session.go
+++ b/internal/proxy/session.go
@@ -28,8 +28,8 @@
 	key      catalog.KeyDigest
 	// principal is the tenant for which the work runs. It may change when the route does.
 	principal upstream.Principal
-	// bound is the session's route. It changes between transactions only.
-	bound catalog.Route
+	// route changes between transactions only.
+	route catalog.Route
 	// homes are the homes of the route and of the tenant. Work may only go to zones that all of
 	// them allow.
 	homes    []catalog.Homes
@@ -72,10 +72,10 @@
 	}
 	s.database, s.key = start.Database, start.Key
 	s.node.awaitConfiguration(time.Now())
-	refusal := s.bind()
+	refusal := s.lookUpRoute()
 	if refusal != nil && refusal.Kind == failure.UnknownKey {
 		s.node.FetchNewerConfiguration(time.Now())
-		refusal = s.bind()
+		refusal = s.lookUpRoute()
 	}
 	if refusal != nil {
 		s.node.log.Write(eventlog.SessionRefused, zap.String("database", s.database),
@@ -85,12 +85,12 @@
 		_ = s.client.Refuse(refusal)
 		return false
 	}
-	s.node.awaitTenure(s.bound.Service, s.principal, time.Now())
+	s.node.awaitTenure(s.route.Service, s.principal, time.Now())
 	return s.client.Accept() == nil
 }
 
-// bind looks up the current route and the caller's tenant.
-func (s *session) bind() *failure.Error {
+// lookUpRoute looks up the current route and the caller's tenant.
+func (s *session) lookUpRoute() *failure.Error {
 	configuration := s.node.catalog.Current().Configuration
 	if configuration == nil {
 		return failure.New(failure.NotReady, "")
@@ -109,7 +109,7 @@
 			RetryAfter: withJitter(uncertainKeysRetry),
 		}
 	}
-	s.bound, s.principal = route, upstream.Principal(tenant)
+	s.route, s.principal = route, upstream.Principal(tenant)
 	s.homes = nil
 	if configuration.HasHomes {
 		s.homes = []catalog.Homes{route.Homes, configuration.Tenants[tenant].Homes}
@@ -125,7 +125,7 @@
 // transaction.
 func (s *session) keyRevoked() bool {
 	configuration := s.node.catalog.Current().Configuration
-	tenant, access := configuration.Identify(&s.bound, s.key)
+	tenant, access := configuration.Identify(&s.route, s.key)
 	return access == catalog.Denied || upstream.Principal(tenant) != s.principal
 }
 
@@ -217,7 +217,7 @@
 func (s *session) handle(received *command.Command, arrived time.Time) Reply {
 	endsTransaction := received.Kind == command.Commit || received.Kind == command.Rollback
 	if s.transaction == nil {
-		if refusal := s.bind(); refusal != nil {
+		if refusal := s.lookUpRoute(); refusal != nil {
 			return s.fail(refusal)
 		}
 	} else if !s.transaction.failed && s.keyRevoked() {
@@ -313,7 +313,7 @@
 	switch {
 	case statement.Writes:
 		return run.write()
-	case s.bound.Freshness == catalog.Current:
+	case s.route.Freshness == catalog.Current:
 		return run.readCurrent()
 	default:
 		return run.read()
--- a/internal/proxy/tenure/keeper.go
+++ b/internal/proxy/tenure/keeper.go
@@ -252,7 +252,7 @@
 	}
 }
 
-// announcement returns a message that tells a node the table. k.mu must be held.
+// announcement returns a message with the table for a node. k.mu must be held.
 func (k *Keeper) announcement(name string, sequence uint64) quorum.Message {
 	m := quorum.Message{Kind: quorum.Announce, From: k.cfg.Name, Incarnation: k.cfg.Incarnation, Sequence: sequence}
 	if table := k.voter.Table(); table != nil {
--- a/internal/proxy/tenure/table.go
+++ b/internal/proxy/tenure/table.go
@@ -28,8 +28,8 @@
 	// silenceTimeout is how long a voter may be silent before another node replaces it. It is
 	// longer than a restart or a short network failure.
 	silenceTimeout = 4 * time.Second
-	// maintainerTimeout is how long the voter that maintains the table may be silent before the next
-	// one maintains it instead.
+	// maintainerTimeout is how long the voter that maintains the table may be silent before the
+	// next one maintains it instead.
 	maintainerTimeout = 1500 * time.Millisecond
 	// firstAnswerTimeout is the same for voters that have not answered since the table was
 	// installed.
--- a/internal/proxy/tenure/voters.go
+++ b/internal/proxy/tenure/voters.go
@@ -179,9 +179,9 @@
 
 // maxVotersPer returns how many of a number of voters one zone or region may have: less than a
 // majority if there are enough nodes elsewhere.
-func (p locations) maxVotersPer(locationOf func(Peer) string, voters int) int {
+func (l locations) maxVotersPer(locationOf func(Peer) string, voters int) int {
 	nodes := map[string]int{}
-	for _, peer := range p {
+	for _, peer := range l {
 		nodes[locationOf(peer)]++
 	}
 	for limit := (voters - 1) / 2; limit < voters; limit++ {
--- a/internal/proxy/transaction.go
+++ b/internal/proxy/transaction.go
@@ -43,7 +43,7 @@
 func (t *transaction) fail(s *session, reason string) {
 	t.end()
 	t.failed = true
-	s.node.log.Write(eventlog.TransactionRolledBack, zap.String("route", s.bound.Name),
+	s.node.log.Write(eventlog.TransactionRolledBack, zap.String("route", s.route.Name),
 		zap.String("reason", reason))
 }
 
--- a/internal/proxy/upstream/limit.go
+++ b/internal/proxy/upstream/limit.go
@@ -56,8 +56,8 @@
 	p.limit = min(p.limit, ceiling)
 }
 
-// raise raises the limit if connections are wanted. The lock is held.
-func (p *Pool) raise(now time.Time) {
+// raiseLimit raises the limit if connections are wanted. The lock is held.
+func (p *Pool) raiseLimit(now time.Time) {
 	if p.limit >= p.ceiling || p.open < p.limit {
 		return
 	}
@@ -68,8 +68,9 @@
 	}
 }
 
-// refused records that the server refused a connection because of its limit. The lock is held.
-func (p *Pool) refused(now time.Time) {
+// recordRefusal records that the server refused a connection because of its limit. The lock is
+// held.
+func (p *Pool) recordRefusal(now time.Time) {
 	p.limit = p.open
 	p.changedAt, p.refusedLast, p.refusedAt = now, true, now
 	p.raiseBackoff = refusalBackoff
@@ -96,7 +97,7 @@
 		defer p.mutex.Unlock()
 		p.raiseScheduled = false
 		now := time.Now()
-		p.raise(now)
+		p.raiseLimit(now)
 		p.dialForWaiters(now)
 		p.scheduleRaise()
 	})
--- a/internal/proxy/upstream/pool.go
+++ b/internal/proxy/upstream/pool.go
@@ -134,7 +134,7 @@
 }
 
 // takeOrWait returns an idle connection or a registered waiter. It starts to open a connection for
-// the waiter if the limit allows. It returns neither if the pool is shut.
+// the waiter if the limit allows. It returns neither if the pool is closed.
 func (p *Pool) takeOrWait(principal Principal, extra int) (*Lease, *waiter) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -149,7 +149,7 @@
 		return lease, nil
 	}
 	waiter := p.waiters.add(principal, extra, now)
-	p.raise(now)
+	p.raiseLimit(now)
 	p.dialFor(waiter, now)
 	p.scheduleRaise()
 	return nil, waiter
@@ -233,16 +233,16 @@
 	now := time.Now()
 	p.stats.RecordAnswer(now)
 	p.stats.RecordPosition(applied)
-	p.stats.dialed(now.Sub(began))
+	p.stats.recordDialTime(now.Sub(began))
 	lease := &Lease{
 		Connection: connection, principal: principal, stats: p.stats, pool: p, generation: generation,
 		Values: map[string]string{}, Prepared: map[string]command.PreparedStatement{},
 	}
-	p.dialed(lease)
+	p.deliver(lease)
 }
 
-// dialed passes a new connection to a waiter of its principal.
-func (p *Pool) dialed(lease *Lease) {
+// deliver passes a new connection to a waiter of its principal.
+func (p *Pool) deliver(lease *Lease) {
 	p.mutex.Lock()
 	if lease.generation == p.generation {
 		p.dialEnded(lease.principal)
@@ -282,7 +282,7 @@
 	p.open--
 	p.dialEnded(principal)
 	if refused && refusal == ConnectionLimit {
-		p.refused(time.Now())
+		p.recordRefusal(time.Now())
 	}
 	if w := p.waiters.takeFor(principal); w != nil {
 		w.handover <- handover{err: err}
@@ -391,8 +391,8 @@
 	}
 }
 
-// Shut closes all idle connections and rejects further requests.
-func (p *Pool) Shut() {
+// Close closes all idle connections and rejects further requests.
+func (p *Pool) Close() {
 	p.mutex.Lock()
 	p.closed = true
 	idle := p.idle
--- a/internal/proxy/upstream/pool_test.go
+++ b/internal/proxy/upstream/pool_test.go
@@ -146,7 +146,7 @@
 		must.NoError(t, err)
 		must.Eq(t, 300*time.Millisecond, time.Since(began))
 		again.Discard()
-		pool.Shut()
+		pool.Close()
 		_, err = pool.Get(Own, time.Now().Add(time.Second))
 		must.ErrorIs(t, err, ErrNoConnection)
 	})
@@ -170,7 +170,7 @@
 		must.LessEq(t, 3, dials)
 		lease.Return()
 		time.Sleep(time.Second)
-		pool.Shut()
+		pool.Close()
 	})
 }
 
@@ -192,7 +192,7 @@
 		must.Eq(t, 1, pool.Open())
 		third.Return()
 		must.Eq(t, 1, pool.Open())
-		pool.Shut()
+		pool.Close()
 		must.Eq(t, 0, pool.Open())
 		must.Eq(t, 0, dialer.open)
 	})
--- a/internal/proxy/upstream/principals_test.go
+++ b/internal/proxy/upstream/principals_test.go
@@ -38,7 +38,7 @@
 		must.Eq(t, 2, dialer.open)
 		amber.Return()
 		cedar.Return()
-		pool.Shut()
+		pool.Close()
 	})
 }
 
@@ -90,7 +90,7 @@
 			}
 			working.Wait()
 			synctest.Wait()
-			pool.Shut()
+			pool.Close()
 			synctest.Wait()
 			if pool.Open() != 0 || dialer.open != 0 {
 				rt.Errorf("%d connections are still open, the pool counts %d", dialer.open, pool.Open())
--- a/internal/proxy/upstream/stats.go
+++ b/internal/proxy/upstream/stats.go
@@ -165,8 +165,8 @@
 	s.latencyAt = now
 }
 
-// dialed uses half of the time that opening a connection took as the initial estimate.
-func (s *Stats) dialed(took time.Duration) {
+// recordDialTime uses half of the time that opening a connection took as the initial estimate.
+func (s *Stats) recordDialTime(took time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.latencyAt.IsZero() {
