--- a/internal/lab/rounds/rounds.go
+++ b/internal/lab/rounds/rounds.go
@@ -95,8 +95,8 @@
 		}
 	}
 	canvas := plot.New()
-	canvas.Title.Text = "Value of the standard runs: " + entries[0].Site
-	canvas.Y.Label.Text = "value"
+	canvas.Title.Text = "Worth of the standard runs: " + entries[0].Site
+	canvas.Y.Label.Text = "worth"
 	canvas.Y.Min, canvas.Y.Max = 0, 1.15
 	canvas.Legend.Top = true
 	canvas.NominalX(names...)
