--- a/deploy/days.sh
+++ b/deploy/days.sh
@@ -1,15 +1,16 @@
 #!/usr/bin/env bash
-# Writes days for the users' bench into a folder: each kind of trouble twice, and with
-# a seed, random pairs of kinds that overlap. Run them with
+# Writes scenario files ("days") for the users' test bench into a folder: one for each kind of
+# fault or change, which occurs twice, and optionally random pairs of kinds that overlap. Run them
+# with
 #
 #     fleetbench run SITE FOLDER/NAME.toml --why "…"
 #
-# With a site file of a large deployment the days can be played small (--small).
+# With the SITE file of a large deployment the scenarios can be run at its small size (--small).
 #
 # Usage: deploy/days.sh FOLDER [PAIRS SEED [SITE]]
 set -euo pipefail
 
-# Each line: where the entry stands, a name, and the entry without its moment.
+# Each line: the list that the entry belongs to, a name, and the entry without its time.
 kinds() {
 	cat <<'KINDS'
 faults burst kind = "burst", x = 2.5, for_s = 4.0
@@ -113,9 +114,9 @@
 KINDS
 }
 
-# write_day FILE NAME ENTRY…: an entry is "plan AT TEXT" or "faults AT TEXT".
+# write_day FILE NAME ENTRY… writes a scenario. An entry is "plan AT TEXT" or "faults AT TEXT".
 write_day() {
-	local file=$1 name=$2 entry where at text part # small: how the site plays days small
+	local file=$1 name=$2 entry where at text part # small (of main): the site's line for --small, if any
 	shift 2
 	{
 		printf '[[day]]\nname = "%s"\nslot = "trouble"\nseed = 4711\n' "$name"
--- a/scripts/fleet-test.sh
+++ b/scripts/fleet-test.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Drives separate processes through kill -9, a freeze past every time limit, a
-# primary that is cut off, an outage of the store and a planned stop, and judges
-# the recorded history. Exit code 2: a promise was broken.
+# Tests a fleet of separate processes under kill -9, a freeze longer than every timeout, an
+# unreachable primary, an outage of the store and a planned stop, and checks the recorded history.
+# The exit code is 2 if a promise was violated.
 set -eu
 cd "$(dirname "$0")/.."
 binary=${DEWKNOT_BINARY:-bin/dewknot}
@@ -15,13 +15,13 @@
 load=$!
 
 sleep 4
-echo "fleet-test: cut off the primary for 5 s"
+echo "fleet-test: disconnect the primary for 5 s"
 "$binary" standin fault cut
 sleep 5
 for server in 0 1 2; do "$binary" standin fault cut --off --server "$server"; done
 
 sleep 2
-echo "fleet-test: kill -9 node3, start it again after 3 s"
+echo "fleet-test: kill -9 node3, restart it after 3 s"
 kill -9 "$(cat "$run/node3.pid")"
 sleep 3
 scripts/fleet.sh node 3
--- a/scripts/fleet.sh
+++ b/scripts/fleet.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Starts or stops a small fleet as separate processes on loopback:
-# one stand-in platform, one stand-in database group and three nodes.
-#   scripts/fleet.sh start | stop | status | node NUMBER (starts one node again)
+# Starts or stops a small fleet of separate processes on loopback: a stand-in platform, a stand-in
+# database group and three nodes.
+#   scripts/fleet.sh start | stop | status | node NUMBER (restarts a node)
 set -eu
 cd "$(dirname "$0")/.."
 run=run
@@ -22,19 +22,19 @@
 		--store http://127.0.0.1:6000 --fleet-keys "$key" --authentication trust
 }
 
-# Ports that the fleet listens on; one in use would mix this fleet with another.
+# Ports of the fleet. They must be unused, so that the fleet does not connect to another one.
 ports="6000 6100 6101 6102 6103 7011 7012 7014 7021 7022 7024 7031 7032 7034"
 
 refuse_used_ports() {
 	for port in $ports; do
 		if (exec 3<>"/dev/tcp/127.0.0.1/$port") 2>/dev/null; then
-			echo "fleet: port $port is in use; stop the earlier fleet with 'scripts/fleet.sh stop', or what else listens there" >&2
+			echo "fleet: port $port is in use; stop the other fleet with 'scripts/fleet.sh stop', or the process that uses the port" >&2
 			exit 1
 		fi
 	done
 }
 
-# Logs of an earlier run are kept beside the new ones.
+# Moves the logs and the history of the previous run to a folder of their own.
 keep_old_logs() {
 	if ls "$run"/*.log >/dev/null 2>&1; then
 		old="$run/logs-$(date +%Y%m%dT%H%M%S)"
@@ -44,7 +44,7 @@
 	fi
 }
 
-# Ends a process and waits until it is gone; after 10 s it is killed.
+# Terminates a process and waits until it has ended. It is killed after 10 s.
 end_process() { # pid
 	kill "$1" 2>/dev/null || return 0
 	kill -CONT "$1" 2>/dev/null || true
--- a/scripts/soak.sh
+++ b/scripts/soak.sh
@@ -1,12 +1,12 @@
 #!/usr/bin/env bash
-# Plays faults and series of them against real processes (docs/SOAK.md): scripts/soak.sh [SECONDS [SEED [NODES]]].
-# With DEWKNOT_SOAK_UNFENCED=1 the platform checks no tokens.
-# Each node is started again when it ends. Logs of a failed run are kept; their folder is
-# printed. Only processes started here are ended, by their ids.
+# Runs random faults against real processes (docs/SOAK.md): scripts/soak.sh [SECONDS [SEED [NODES]]].
+# With DEWKNOT_SOAK_UNFENCED=1 the platform does not check fencing tokens.
+# Nodes that end are restarted. The logs of a failed run are kept, and their folder is printed. The
+# script only terminates processes that it started, by their ids.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
-# supervise NODE: runs a node's process until the soak is over.
+# supervise NODE runs a node and restarts it until the soak test is over.
 supervise() {
 	local node=$1
 	while [ ! -e "$dir/stop" ]; do
@@ -18,7 +18,7 @@
 	done
 }
 
-# end_nodes ends what was started, whatever the outcome.
+# end_nodes terminates all nodes. It also runs after a failure.
 end_nodes() {
 	touch "$dir/stop"
 	local pid_file pid
